--- a/bench/failover.py
+++ b/bench/failover.py
@@ -32,7 +32,7 @@
 from bench.fleet import lines_of
 from dunepulley.agent import wire
 from dunepulley.agent.admin_call import NoAnswerError, call
-from dunepulley.load.local import Catalog, catalog, free_ports, member
+from dunepulley.load.local import Catalog, free_ports, member, serve_catalog
 from dunepulley.load.processes import Processes
 
 WAYS = ("common", "alone", "fixed")
@@ -321,7 +321,7 @@
         lists: list[Catalog] = []
         discovery: dict[str, str] = {}
         for zones in [(zone,) for zone in ZONES] if way == "fixed" else [ZONES]:
-            here, address = await stack.enter_async_context(catalog(fleet.members(zones)))
+            here, address = await stack.enter_async_context(serve_catalog(fleet.members(zones)))
             lists.append(here)
             discovery |= dict.fromkeys(zones, address)
         session = await stack.enter_async_context(
@@ -461,11 +461,11 @@
 
 def main(arguments: list[str] | None = None) -> int:
     """Run the measurement; 0 where nothing promised was broken, 1 where something was."""
-    from dunepulley.model.command import seeds_of
+    from dunepulley.model.command import parse_seeds
 
     parser = argparse.ArgumentParser(description="A zone is lost and comes back cold.")
     parser.add_argument("--small", action="store_true", help="the common way once, under 45 s")
-    parser.add_argument("--seeds", type=seeds_of, default=seeds_of("1"))
+    parser.add_argument("--seeds", type=parse_seeds, default=parse_seeds("1"))
     parser.add_argument("--ways", default=",".join(WAYS), help="some of common, alone, fixed")
     parser.add_argument("--csv", help="where to write the figures")
     parser.add_argument("--plot", help="where to draw them (needs matplotlib: requirements-measure.txt)")
--- a/bench/predict.py
+++ b/bench/predict.py
@@ -15,10 +15,10 @@
 import os
 import sys
 
-from dunepulley.load import play
+from dunepulley.load import runner
 from dunepulley.model import compare
-from dunepulley.model import day as days
-from dunepulley.model.command import seeds_of
+from dunepulley.model import scenario as scenarios
+from dunepulley.model.command import parse_seeds
 
 
 def main(arguments: list[str] | None = None) -> int:
@@ -26,14 +26,14 @@
     parser = argparse.ArgumentParser(description="The model's prediction against real dispatchers.")
     parser.add_argument("day")
     parser.add_argument("--b", required=True, help="the changed settings, a TOML file")
-    parser.add_argument("--seeds", type=seeds_of, default=seeds_of("1-40"))
-    parser.add_argument("--played", type=seeds_of, default=seeds_of("1-4"))
+    parser.add_argument("--seeds", type=parse_seeds, default=parse_seeds("1-40"))
+    parser.add_argument("--played", type=parse_seeds, default=parse_seeds("1-4"))
     chosen = parser.parse_args(arguments)
-    day = days.read(chosen.day)
-    changed = compare.settings_in(chosen.b)
-    ways = [compare.Way({}), compare.Way(changed)]
+    scenario = scenarios.read(chosen.day)
+    changed = compare.read_settings(chosen.b)
+    ways = [compare.Variant({}), compare.Variant(changed)]
     seeds = sorted({*chosen.seeds, *chosen.played})
-    foretold = compare.play_all(day, seeds, ways, os.cpu_count() or 1)
+    foretold = compare.run_all(scenario, seeds, ways, os.cpu_count() or 1)
     out = csv.writer(sys.stdout)
     out.writerow(["where", "way", "seed", "payoff"])
     for way, runs in zip("ab", foretold, strict=True):
@@ -43,16 +43,16 @@
     for seed in chosen.played:
         # One after the other, and both ways beside each other in time: what else the machine does hits both.
         for way, settings in (("a", {}), ("b", changed)):
-            one = asyncio.run(play.play(day, seed, settings, None))
+            one = asyncio.run(runner.run_scenario(scenario, seed, settings, None))
             seen[way].append(one["payoff"])
             out.writerow(["played", way, seed, f"{one['payoff']:.4f}"])
             sys.stdout.flush()
     spread = [b["payoff"] - a["payoff"] for a, b in zip(*foretold, strict=True)]
-    mean, low, high = compare.interval(spread)
+    mean, low, high = compare.bootstrap_interval(spread)
     differences = [b - a for a, b in zip(seen["a"], seen["b"], strict=True)]
     played = sum(differences) / len(differences)
     # Few seeds were played: where the mean of so few of the model's own lies.
-    few_low, few_high = compare.interval(spread, len(differences))[1:]
+    few_low, few_high = compare.bootstrap_interval(spread, len(differences))[1:]
     same = [spread[seeds.index(seed)] for seed in chosen.played]
     holds = few_low <= played <= few_high
     for text in (
--- a/bench/scale_endpoints.py
+++ b/bench/scale_endpoints.py
@@ -19,9 +19,9 @@
 
 import aiohttp
 
-from dunepulley.load.local import RealTime, call_back
-from dunepulley.load.stub_servers import load_of
-from dunepulley.model.worker import Job, Worker
+from dunepulley.load.local import RealTime, send_callback
+from dunepulley.load.stub_servers import load_report_fields
+from dunepulley.model.server import Job, ModelServer
 
 # The name of endpoint number n is this and n.
 PREFIX = "w"
@@ -44,7 +44,7 @@
         self.told = told
         self.time = RealTime()
         self.connections = 0
-        self.workers: list[Worker] = []
+        self.workers: list[ModelServer] = []
         self.servers: list[asyncio.Server] = []
         self.jobs: dict[tuple[str, str], Job] = {}
         self.callbacks: set[asyncio.Task] = set()
@@ -55,7 +55,7 @@
         loop, addresses = asyncio.get_running_loop(), []
         slots, queue = self.told["slots"], self.told["queue"]
         for number in range(self.told["endpoints"]):
-            worker = Worker(self.time, f"{PREFIX}{number}", "", "box", "0", slots, queue, 1.0)
+            worker = ModelServer(self.time, f"{PREFIX}{number}", "", "box", "0", slots, queue, 1.0)
             host = loopback_address(number)
             server = await loop.create_server(partial(Connection, self, worker), host, 0, backlog=BACKLOG)
             self.workers.append(worker)
@@ -72,7 +72,7 @@
             server.close()
         await self.session.close()
 
-    def take(self, worker: Worker, request_id: str, work_ms: float) -> bytes:
+    def take(self, worker: ModelServer, request_id: str, work_ms: float) -> bytes:
         """Take a job in or turn it away; the answer."""
         job = Job(request_id, work_ms, 1.0, partial(self._tell, worker, request_id))
         self.jobs[worker.name, request_id] = job
@@ -81,19 +81,19 @@
         del self.jobs[worker.name, request_id]
         return answer(503, b"X-Rejected: 1\r\n")
 
-    def give_up(self, worker: Worker, request_id: str) -> bytes:
+    def give_up(self, worker: ModelServer, request_id: str) -> bytes:
         """Drop a job, if it is here; the answer."""
         job = self.jobs.pop((worker.name, request_id), None)
         if job is not None:
             worker.drop(job, running=True)
         return answer(204)
 
-    def _tell(self, worker: Worker, request_id: str, what: str) -> None:
+    def _tell(self, worker: ModelServer, request_id: str, what: str) -> None:
         told: dict[str, Any] = {"id": request_id, "from": worker.name, "state": STATES.get(what, "lost")}
         if what != "began":
             self.jobs.pop((worker.name, request_id), None)
-            told |= {"result": "made", "load": load_of(worker)}
-        call = call_back(self.session, self.told["dispatcher"], told, RETRY_CALLBACK_S)
+            told |= {"result": "made", "load": load_report_fields(worker)}
+        call = send_callback(self.session, self.told["dispatcher"], told, RETRY_CALLBACK_S)
         task = asyncio.create_task(call)
         self.callbacks.add(task)
         task.add_done_callback(self.callbacks.discard)
@@ -107,8 +107,8 @@
 class Connection(asyncio.Protocol):
     """One connection of the dispatcher to an endpoint: requests with their length given, one at a time."""
 
-    def __init__(self, endpoints: Endpoints, worker: Worker) -> None:
-        self.endpoints, self.worker = endpoints, worker
+    def __init__(self, endpoints: Endpoints, worker: ModelServer) -> None:
+        self.endpoints, self.server = endpoints, worker
         self.received = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -132,10 +132,10 @@
         method, target, _ = first.split(" ")
         if method == "POST":
             # The body says how many milliseconds the work takes.
-            return self.endpoints.take(self.worker, request_id, float(body))
+            return self.endpoints.take(self.server, request_id, float(body))
         if method == "DELETE":
-            return self.endpoints.give_up(self.worker, target.rpartition("/")[2])
-        figures = ",".join([f"{name}={figure:g}" for name, figure in load_of(self.worker).items()])
+            return self.endpoints.give_up(self.server, target.rpartition("/")[2])
+        figures = ",".join([f"{name}={figure:g}" for name, figure in load_report_fields(self.server).items()])
         return answer(200, f"X-Load-Report: {figures}\r\n".encode()) if target == "/ping" else answer(404)
 
 
--- a/bench/site.py
+++ b/bench/site.py
@@ -20,8 +20,8 @@
 from typing import Any
 
 from dunepulley.load.local import RealTime
-from dunepulley.load.stub_servers import StubServers, load_of
-from dunepulley.model.worker import Worker
+from dunepulley.load.stub_servers import StubServers, load_report_fields
+from dunepulley.model.server import ModelServer
 
 PAUSE_S = 0.2
 # What is sent to a cold worker is counted over so long.
@@ -36,26 +36,26 @@
         self.time = RealTime()
         self.record = Path(told["record"]).open("a", buffering=1)  # noqa: SIM115
         self.lately: dict[str, deque[tuple[float, float]]] = {name: deque() for name in told["workers"]}
-        self.stub_servers = StubServers(self, self.time, pause_s=PAUSE_S)
+        self.stub_servers = StubServers(self, self.time, retry_pause_s=PAUSE_S)
 
     def note(self, *words: Any) -> None:
         """Write one line of the record."""
         at = time.time() * 1000.0
         self.record.write(" ".join([words[0], f"{at:.1f}", *[str(word) for word in words[1:]]]) + "\n")
 
-    def work_of(self, request_id: str, headers: Any) -> float:
+    def find_work_ms(self, request_id: str, headers: Any) -> float:
         """What an item takes, in ms."""
         return float(headers.get("X-Call-Cost", 1000.0 * self.told["runs_ms"])) / 1000.0
 
-    def callback_of(self, request_id: str, worker: str) -> str:
+    def callback_address(self, request_id: str, worker: str) -> str:
         """The dispatcher that was given an item."""
         return self.told["dispatchers"][request_id.partition(".")[0]]
 
-    def report_of(self, worker: Worker) -> dict[str, float]:
+    def load_report(self, worker: ModelServer) -> dict[str, float]:
         """Its figures of now."""
-        return load_of(worker)
+        return load_report_fields(worker)
 
-    def happened(self, what: str, worker: str, request_id: str, work: float) -> None:
+    def record_event(self, what: str, worker: str, request_id: str, work: float) -> None:
         """Record hand-offs, and cold workers that are pushed over."""
         if what == "arrived":
             self.note("sent", request_id.partition(".")[0], worker)
@@ -63,7 +63,7 @@
         elif what == "full":
             self.note("full", worker)
 
-    def count(self, worker: Worker, work: float) -> None:
+    def count(self, worker: ModelServer, work: float) -> None:
         """Whether a cold worker was sent more than it can bear within the span that counts."""
         warmth = worker.factors.get("cold", 1.0)
         if warmth >= 1.0:
@@ -83,10 +83,10 @@
         async with self.stub_servers:
             for name, port in told["workers"].items():
                 slots, queue, speed = told["slots"], told["queue"], told["speed"]
-                worker = Worker(self.time, name, told["zone"], "box", "0", slots, queue, speed)
+                worker = ModelServer(self.time, name, told["zone"], "box", "0", slots, queue, speed)
                 if told["since_ms"]:
                     worker.start()
-                    worker.warm(told["cold_from"], told["cold_s"] * 1000.0)
+                    worker.warm_up(told["cold_from"], told["cold_s"] * 1000.0)
                 await self.stub_servers.open(worker, port)
             await asyncio.Event().wait()
 
--- a/bench/stub_workers.py
+++ b/bench/stub_workers.py
@@ -13,7 +13,7 @@
 
 from dunepulley.load.local import RealTime, member
 from dunepulley.load.stub_servers import StubServers
-from dunepulley.model.worker import Worker
+from dunepulley.model.server import ModelServer
 
 # A dispatcher that is killed and started again is back after a few of these.
 PAUSE_S = 0.2
@@ -45,9 +45,11 @@
 
     async def __aenter__(self) -> Workers:
         clock = RealTime()
-        self.stub_servers = await StubServers(self, clock, tells_start=False, pause_s=PAUSE_S).__aenter__()
+        self.stub_servers = await StubServers(
+            self, clock, reports_start=False, retry_pause_s=PAUSE_S
+        ).__aenter__()
         for number, zone in enumerate(self.zones):
-            worker = Worker(clock, f"w{number}", zone, "box", "0", MANY, MANY, 1.0)
+            worker = ModelServer(clock, f"w{number}", zone, "box", "0", MANY, MANY, 1.0)
             address = await self.stub_servers.open(worker)
             self.members.append(member(worker.name, address, zone, "box", "0"))
         return self
@@ -55,20 +57,20 @@
     async def __aexit__(self, *_: object) -> None:
         await self.stub_servers.__aexit__()
 
-    def work_of(self, request_id: str, headers: Any) -> float:
+    def find_work_ms(self, request_id: str, headers: Any) -> float:
         """What an item takes, in ms."""
         return self.runs_ms
 
-    def callback_of(self, request_id: str, worker: str) -> str:
+    def callback_address(self, request_id: str, worker: str) -> str:
         """The instance that was given an item."""
         return self.addresses[request_id.partition(".")[0]]
 
-    def happened(self, what: str, worker: str, request_id: str, work: float) -> None:
+    def record_event(self, what: str, worker: str, request_id: str, work: float) -> None:
         """Note the hand-offs."""
         if what == "arrived":
             self.sent.append(Sent(time.time() * 1000.0, request_id.partition(".")[0], worker, request_id))
 
-    def report_of(self, worker: Worker) -> None:
+    def load_report(self, worker: ModelServer) -> None:
         """No load report."""
 
 
--- a/dunepulley/__main__.py
+++ b/dunepulley/__main__.py
@@ -98,10 +98,10 @@
     try:
         start = agent_config.read(path)
         if new_votes and start.fleet is None:
-            raise agent_config.UnusableError(f"{path}: --new-votes goes with a [fleet]")
+            raise agent_config.AgentConfigError(f"{path}: --new-votes goes with a [fleet]")
         return asyncio.run(agent.serve(start, new_votes))
     except (
-        agent_config.UnusableError,
+        agent_config.AgentConfigError,
         drain_file.DrainFileError,
         acceptor_store.AcceptorStoreError,
     ) as error:
--- a/dunepulley/agent/agent.py
+++ b/dunepulley/agent/agent.py
@@ -66,10 +66,13 @@
         return self._server.port
 
     async def start(self) -> None:
-        """Start to supervise the dispatchers and to listen. Raises `DrainFileError` and `UnusableError`."""
+        """Start to supervise the dispatchers and to listen.
+
+        Raises `DrainFileError` and `AgentConfigError`.
+        """
         self.drain_store.write_at_start()
         watches = [self.supervisor.watch(dispatcher) for dispatcher in self.dispatchers.values()]
-        writes = [self.drain_store.keep_durable(), self.drain_store.keep_time_left_recent()]
+        writes = [self.drain_store.retry_until_durable(), self.drain_store.refresh_time_left()]
         self._tasks = [asyncio.create_task(work) for work in (*watches, *writes)]
         await self._server.start(*self.config.listen)
         if self.fleet is not None:
@@ -83,7 +86,7 @@
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, self._server.close(), return_exceptions=True)
-        self.drain_store.write_again()
+        self.drain_store.retry_write()
 
     def _reply_header(self) -> dict[str, Any]:
         return {"agent": VERSION, "now": self.clock.wall_ms(), "revision": self.drains.revision}
--- a/dunepulley/agent/command_request.py
+++ b/dunepulley/agent/command_request.py
@@ -6,7 +6,7 @@
 from typing import Any, TypeVar
 
 from dunepulley.control import drain_json
-from dunepulley.control.drains import NEVER, Drain
+from dunepulley.control.drains import INFINITY, Drain
 from dunepulley.errors import RefusedError
 from dunepulley.json_values import is_number
 
@@ -38,8 +38,8 @@
         return float(value)
 
     def drain_seconds(self) -> float:
-        """Return for how many seconds a drain is to last, `NEVER` for no end."""
-        return self.seconds("for_s", _MAX_DRAIN_S, _MAX_DRAIN_S) if "for_s" in self._message else NEVER
+        """Return for how many seconds a drain is to last, `INFINITY` for no end."""
+        return self.seconds("for_s", _MAX_DRAIN_S, _MAX_DRAIN_S) if "for_s" in self._message else INFINITY
 
     def endpoint_id(self) -> str:
         """Return the endpoint that is asked about."""
--- a/dunepulley/agent/config.py
+++ b/dunepulley/agent/config.py
@@ -32,7 +32,7 @@
 _MAX_NAME_LENGTH = 64
 
 
-class UnusableError(ConfigurationError):
+class AgentConfigError(ConfigurationError):
     """The configuration cannot be used, or the agent not be started with it; the text says why."""
 
 
@@ -69,18 +69,18 @@
 
 
 def read(path: str) -> AgentConfig:
-    """Read and check the file; paths in it are relative to its directory. Raises `UnusableError`."""
+    """Read and check the file; paths in it are relative to its directory. Raises `AgentConfigError`."""
     try:
         with open(path, "rb") as file:
             document = tomllib.load(file)
     except OSError as error:
-        raise UnusableError(f"cannot read {path}: {error.strerror}") from error
+        raise AgentConfigError(f"cannot read {path}: {error.strerror}") from error
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise UnusableError(f"{path} is no TOML: {error}") from error
+        raise AgentConfigError(f"{path} is no TOML: {error}") from error
     try:
         return _parse_agent(document, os.path.dirname(os.path.abspath(path)))
     except (ValueError, TypeError) as error:
-        raise UnusableError(f"{path}: {error}") from error
+        raise AgentConfigError(f"{path}: {error}") from error
 
 
 def _parse_agent(document: dict[str, Any], directory: str) -> AgentConfig:
--- a/dunepulley/agent/dispatcher.py
+++ b/dunepulley/agent/dispatcher.py
@@ -13,7 +13,7 @@
 from dunepulley.agent.config import DispatcherConfig
 from dunepulley.clocks import Clock
 from dunepulley.control import drain_json
-from dunepulley.control.drains import NEVER, DrainSet
+from dunepulley.control.drains import INFINITY, DrainSet
 from dunepulley.control.fleet_view import DispatcherReport
 
 # What a process says of itself once a hot restart has handed its clients to another.
@@ -112,13 +112,13 @@
         """Return whether the serving process is known to have this set, or a newer one."""
         return self.process is not None and self.process.drain_version >= wanted.version
 
-    async def call_admin(self, line: str, timeout_s: float = NEVER) -> AdminReply:
+    async def call_admin(self, line: str, timeout_s: float = INFINITY) -> AdminReply:
         """Call the process that serves, within `timeout_s` and `answer_timeout_s`. Raises `NoAnswerError`."""
         if self.process is None:
             raise NoAnswerError(self.last_error)
         return await call(self.process.admin_address, line, min(timeout_s, self.answer_timeout_s))
 
-    async def endpoints(self, timeout_s: float = NEVER) -> EndpointViews:
+    async def endpoints(self, timeout_s: float = INFINITY) -> EndpointViews:
         """Return the endpoints as this dispatcher sees them. Raises `NoAnswerError`."""
         _, text = await self.call_admin("WORKERS", timeout_s)
         try:
--- a/dunepulley/agent/drain_store.py
+++ b/dunepulley/agent/drain_store.py
@@ -12,14 +12,14 @@
 from dunepulley.agent import drain_file
 from dunepulley.agent.drain_file import DrainFileError, NotDurableError
 from dunepulley.clocks import Clock
-from dunepulley.control.drains import NEVER, DrainSet
+from dunepulley.control.drains import INFINITY, DrainSet
 from dunepulley.net import log
 from dunepulley.net.log_events import LogEvent
 
-WRITE_AGAIN_S = 1.0
+WRITE_RETRY_S = 1.0
 """How often a set that is in force, but not surely on the disk, is written again."""
 
-REWRITE_S = 60.0
+TIME_LEFT_REFRESH_S = 60.0
 """How often the time left of drains that expire is written anew.
 
 After a boot of the host it is not known for how long it was off; the drains then last from the last write.
@@ -29,8 +29,8 @@
 class DrainStore:
     """Owns the set in force and its file; expiries are by `clock`.
 
-    `unwritten` says why the set in force is not known to be durable, and is empty where it is. `lock` is held
-    by whoever changes the set, from reading the present one until the next is written.
+    `durability_error` says why the set in force is not known to be durable, and is empty where it is. `lock`
+    is held by whoever changes the set, from reading the present one until the next is written.
     """
 
     def __init__(self, path: str, clock: Clock) -> None:
@@ -38,7 +38,7 @@
         self.path = path
         self.clock = clock
         self.drains = drain_file.load(path, clock.wall_ms(), clock)
-        self.unwritten = ""
+        self.durability_error = ""
         # Without a file an epoch has begun just now, by the wall clock.
         self.new_epoch = not os.path.exists(path)
         self.lock = asyncio.Lock()
@@ -62,23 +62,23 @@
             raise error
         self._note_unwritten(error)
 
-    def write_again(self) -> None:
+    def retry_write(self) -> None:
         """Write the set in force once more, if it is not known to be durable."""
-        if self.unwritten:
+        if self.durability_error:
             self._note_unwritten(self._save(self.drains))
 
-    async def keep_durable(self) -> None:
+    async def retry_until_durable(self) -> None:
         """Write a set that is not known to be durable again until it is; runs until cancelled."""
         while True:
-            await asyncio.sleep(WRITE_AGAIN_S)
+            await asyncio.sleep(WRITE_RETRY_S)
             async with self.lock:
-                self.write_again()
+                self.retry_write()
 
-    async def keep_time_left_recent(self) -> None:
-        """Write the time left of drains that expire every `REWRITE_S`; runs until cancelled."""
+    async def refresh_time_left(self) -> None:
+        """Write the time left of drains that expire every `TIME_LEFT_REFRESH_S`; runs until cancelled."""
         while True:
-            await asyncio.sleep(REWRITE_S)
-            if self.drains.next_expiry_ms(self.clock()) == NEVER:
+            await asyncio.sleep(TIME_LEFT_REFRESH_S)
+            if self.drains.next_expiry_ms(self.clock()) == INFINITY:
                 continue
             async with self.lock:
                 # In a thread: a slow disk must not hold up the rest of the agent.
@@ -86,7 +86,7 @@
                 if error is not None:
                     log.write(LogEvent.DRAINS, f"not written anew: {error}")
 
-    async def outrank(self, epoch: float) -> None:
+    async def start_later_epoch(self, epoch: float) -> None:
         """Begin a later epoch than that of a dispatcher's set, which is from before the file was lost.
 
         Epochs are Unix ms: one that began after the wall clock was set back would count as the older, and
@@ -111,6 +111,6 @@
     def _note_unwritten(self, error: DrainFileError | None) -> None:
         """Remember why the set in force may not be durable, and log when that changes."""
         reason = str(error) if error is not None else ""
-        if reason != self.unwritten:
+        if reason != self.durability_error:
             log.write(LogEvent.DRAINS, f"in force, but {reason}" if reason else "the file is written")
-        self.unwritten = reason
+        self.durability_error = reason
--- a/dunepulley/agent/fleet_state.py
+++ b/dunepulley/agent/fleet_state.py
@@ -16,7 +16,7 @@
 from dunepulley.control.fleet_view import FleetView, PlacementReport, ReportWindow
 from dunepulley.control.membership import Membership
 from dunepulley.control.planner import Planner
-from dunepulley.control.traffic_plan import NEVER, Plan, PlanVersion, ZoneState
+from dunepulley.control.traffic_plan import INFINITY, Plan, PlanVersion, ZoneState
 from dunepulley.net import log
 from dunepulley.net.log_events import LogEvent
 
@@ -133,7 +133,7 @@
             moments.append(steady_ms())
         moments.sort(reverse=True)
         majority = self.membership.majority
-        return moments[majority - 1] if len(moments) >= majority else -NEVER
+        return moments[majority - 1] if len(moments) >= majority else -INFINITY
 
 
 def _describe(plan: Plan) -> str:
--- a/dunepulley/agent/operator_commands.py
+++ b/dunepulley/agent/operator_commands.py
@@ -160,10 +160,10 @@
             return {"ok": True, "dispatchers": []}
         reply = results.reply_of(await self._distributor.apply(wanted, timeout_s, summary))
         # In force but not durable: the operator's command is not complete.
-        return reply | ({"ok": False} | self._unwritten() if self._store.unwritten else {})
+        return reply | ({"ok": False} | self._unwritten() if self._store.durability_error else {})
 
     def _unwritten(self) -> dict[str, Any]:
-        return {"unwritten": self._store.unwritten} if self._store.unwritten else {}
+        return {"unwritten": self._store.durability_error} if self._store.durability_error else {}
 
     # Dispatchers.
 
--- a/dunepulley/agent/server.py
+++ b/dunepulley/agent/server.py
@@ -9,7 +9,7 @@
 from dunepulley.agent import wire
 from dunepulley.agent.acceptor_store import AcceptorStoreError
 from dunepulley.agent.command_request import RequestError
-from dunepulley.agent.config import UnusableError
+from dunepulley.agent.config import AgentConfigError
 from dunepulley.agent.drain_file import DrainFileError
 from dunepulley.agent.results import ResultState
 from dunepulley.control.drains import DrainRefusedError
@@ -49,11 +49,11 @@
         self._connections: set[asyncio.Task[Any]] = set()
 
     async def start(self, host: str, port: int) -> None:
-        """Listen, and set `port` to the port that is used. Raises `UnusableError`."""
+        """Listen, and set `port` to the port that is used. Raises `AgentConfigError`."""
         try:
             self._server = await asyncio.start_server(self._serve_client, host, port, limit=wire.LIMIT)
         except OSError as error:
-            raise UnusableError(f"cannot listen at {host}:{port}: {error.strerror}") from error
+            raise AgentConfigError(f"cannot listen at {host}:{port}: {error.strerror}") from error
         self.port = self._server.sockets[0].getsockname()[1]
 
     def stop_listening(self) -> None:
--- a/dunepulley/agent/supervisor.py
+++ b/dunepulley/agent/supervisor.py
@@ -28,7 +28,7 @@
             await dispatcher.poll(wanted)
             if dispatcher.process is not None:
                 epoch, _ = dispatcher.process.drain_version
-                await self._store.outrank(epoch)
+                await self._store.start_later_epoch(epoch)
             if dispatcher.last_error != last_error:
                 last_error = dispatcher.last_error
                 log.write(LogEvent.DISPATCHER, f"{dispatcher.name}: {last_error or 'answers'}")
--- a/dunepulley/control/codec.py
+++ b/dunepulley/control/codec.py
@@ -25,7 +25,7 @@
 from dunepulley.control.fleet_view import DispatcherReport, Observation, PlacementReport, ZoneCounters
 from dunepulley.control.regions import MAX_ZONES
 from dunepulley.control.traffic_plan import (
-    NEVER,
+    INFINITY,
     STANDING_ACTIONS,
     OperatorOverride,
     OverrideAction,
@@ -122,7 +122,7 @@
         "what": override.action.value,
         "by": override.operator,
         "why": override.reason,
-        "left": None if override.remaining_ms == NEVER else override.remaining_ms,
+        "left": None if override.remaining_ms == INFINITY else override.remaining_ms,
     }
 
 
@@ -184,7 +184,7 @@
         OverrideAction(action),
         parse_text(value.get("by"), "by", MAX_OPERATOR_LENGTH),
         parse_text(value.get("why", ""), "why", MAX_REASON_LENGTH),
-        NEVER if remaining is None else parse_duration(remaining, "left"),
+        INFINITY if remaining is None else parse_duration(remaining, "left"),
     )
 
 
--- a/dunepulley/control/drain_json.py
+++ b/dunepulley/control/drain_json.py
@@ -15,9 +15,9 @@
 from dunepulley.clocks import Clock, Stamp
 from dunepulley.control import fields
 from dunepulley.control.drains import (
+    INFINITY,
     MAX_DRAINS,
     MAX_ENDED,
-    NEVER,
     Drain,
     DrainSet,
     EndedDrain,
@@ -39,7 +39,7 @@
     """Return a set as a JSON object; without a clock with `until` alone, as older versions wrote it."""
     encoded: dict[str, Any] = {}
     listed = [_encode_drain(drain) for drain in drains.drains]
-    if clock is not None and any([drain.expires_ms != NEVER for drain in drains.drains]):
+    if clock is not None and any([drain.expires_ms != INFINITY for drain in drains.drains]):
         now_ms = clock()
         encoded["stamp"] = encode_stamp(clock.stamp())
         listed = [_encode_timed(drain, now_ms, clock) for drain in drains.drains]
@@ -116,14 +116,14 @@
         "why": drain.reason,
         "since": drain.started_ms,
         # Infinity is no number of JSON.
-        "until": None if drain.expires_ms == NEVER else drain.expires_ms,
+        "until": None if drain.expires_ms == INFINITY else drain.expires_ms,
         "revision": drain.revision,
     }
 
 
 def _encode_timed(drain: Drain, now_ms: float, clock: Clock) -> dict[str, Any]:
     """Return a drain with the time left until it expires, if it does."""
-    if drain.expires_ms == NEVER:
+    if drain.expires_ms == INFINITY:
         return _encode_drain(drain)
     until_ms = max(0.0, clock.to_wall_ms(drain.expires_ms))
     return _encode_drain(drain) | {"until": until_ms, "left": max(0.0, drain.expires_ms - now_ms)}
@@ -153,7 +153,7 @@
     """Return when a drain expires, by the clock of this process."""
     until, left = value.get("until"), value.get("left")
     if until is None:
-        return NEVER
+        return INFINITY
     until_ms = _parse_number(until, "until")
     if clock is None:
         return until_ms
--- a/dunepulley/control/drains.py
+++ b/dunepulley/control/drains.py
@@ -19,7 +19,7 @@
 from dunepulley import errors
 from dunepulley.routing.events import EndpointEntry, EndpointState
 
-NEVER = math.inf
+INFINITY = math.inf
 """The expiry of a drain that lasts until an operator restores its target."""
 
 MAX_DRAINS = 100
@@ -122,8 +122,8 @@
         return entry.state
 
     def next_expiry_ms(self, now_ms: float) -> float:
-        """Return when the next drain in force expires, or `NEVER`."""
-        return min([drain.expires_ms for drain in self.in_force(now_ms)], default=NEVER)
+        """Return when the next drain in force expires, or `INFINITY`."""
+        return min([drain.expires_ms for drain in self.in_force(now_ms)], default=INFINITY)
 
     def find(self, target_kind: TargetKind, target: str, now_ms: float) -> Drain | None:
         """Return the drain in force of exactly this target, if there is one."""
--- a/dunepulley/control/membership.py
+++ b/dunepulley/control/membership.py
@@ -22,7 +22,7 @@
 HEARTBEAT_TIMEOUT_MS = 2000.0
 # How long a member waits before it leads in the place of those before it: two round trips and two writes.
 TAKEOVER_DELAY_MS = 1500.0
-NEVER = float("inf")
+INFINITY = float("inf")
 
 
 class MemberStatus(StrEnum):
@@ -62,7 +62,7 @@
         self.older_version: set[str] = set()
         # Why the last call to a member failed; empty where it did not.
         self.problems: dict[str, str] = {}
-        self.leading_since = NEVER
+        self.leading_since = INFINITY
 
     @property
     def majority(self) -> int:
@@ -131,7 +131,7 @@
             name for name in self.members if statuses[name] in (MemberStatus.REACHABLE, MemberStatus.SELF)
         ]
         if len(reachable) < self.majority or reachable[0] != self.name:
-            self.leading_since = NEVER
+            self.leading_since = INFINITY
             return False
         self.leading_since = min(self.leading_since, now)
         is_first = self.members[0] == self.name
--- a/dunepulley/control/plan_application.py
+++ b/dunepulley/control/plan_application.py
@@ -151,22 +151,22 @@
         self.placement = Placement(dispatcher, home_zone)
         self.ranking = ranking
         self.lease = PlanLease()
-        self.escaped_until = 0.0
+        self.escape_ends_ms = 0.0
         self.mode = FollowerMode.WITHOUT_PLAN
         # How often it has escaped, for its report.
         self.escapes = 0
         self._ranks: dict[str, float] = {}
 
-    def take(self, lease: PlanLease) -> bool:
+    def accept(self, lease: PlanLease) -> bool:
         """Go by another lease, unless it is older than the one in hand; whether it was taken."""
         if not self.lease.is_renewed_by(lease):
             return False
         if lease.plan.version != self.lease.plan.version:
-            self.escaped_until = 0.0
+            self.escape_ends_ms = 0.0
         self.lease = lease
         return True
 
-    def holds(self, now: float) -> bool:
+    def has_valid_plan(self, now: float) -> bool:
         """Whether a plan is in force."""
         return now < self.lease.expires_ms
 
@@ -179,13 +179,13 @@
     ) -> frozenset[str]:
         """The ids of the endpoints to use now; `ejected` are those that the router has ejected."""
         ready = list(ready)
-        if not self.holds(now):
+        if not self.has_valid_plan(now):
             # The standing rule, which needs no agent: by the list alone.
             self.mode = FollowerMode.WITHOUT_PLAN
             return _ids(ready)
         selection = apply_plan(self.lease.plan, self.placement, ready, required_kinds, self._rank)
         self._escape_if_failing(now, selection, ejected)
-        if now < self.escaped_until:
+        if now < self.escape_ends_ms:
             closed = self.lease.plan.closed_zones()
             self.mode = FollowerMode.ESCAPED
             return _ids([entry for entry in ready if entry.zone not in closed]) or _ids(ready)
@@ -194,8 +194,8 @@
 
     def _escape_if_failing(self, now: float, selection: Selection, ejected: Collection[str]) -> None:
         failing = len(selection.endpoint_ids & set(ejected))
-        if now >= self.escaped_until and failing > ESCAPE_FRACTION * len(selection.endpoint_ids):
-            self.escaped_until = now + ESCAPE_MS
+        if now >= self.escape_ends_ms and failing > ESCAPE_FRACTION * len(selection.endpoint_ids):
+            self.escape_ends_ms = now + ESCAPE_MS
             self.escapes += 1
 
     def _rank(self, dispatcher: str, endpoint_id: str) -> float:
--- a/dunepulley/control/planner.py
+++ b/dunepulley/control/planner.py
@@ -14,7 +14,7 @@
 from dunepulley.control.regions import MAX_ZONES, Regions
 from dunepulley.control.traffic_plan import (
     CLOSED_STATES,
-    NEVER,
+    INFINITY,
     OperatorOverride,
     OverrideAction,
     Plan,
@@ -86,7 +86,7 @@
         """The next plan, or None where the one in force is right."""
         overrides = self.overrides(now)
         zones = self._draft(view, overrides, now)
-        ends = any([override.remaining_ms < NEVER for override in overrides])
+        ends = any([override.remaining_ms < INFINITY for override in overrides])
         renewal_is_due = ends and now - self._plan_learned_ms > OVERRIDE_RENEWAL_MS
         if self._says_the_same(zones, overrides) and not renewal_is_due:
             return None
@@ -165,7 +165,7 @@
         history = self._histories.get(zone)
         if history is not None:
             # The operator has looked at it: it is tried at once.
-            self._histories[zone] = history._replace(state_since_ms=-NEVER, failed_returns=0)
+            self._histories[zone] = history._replace(state_since_ms=-INFINITY, failed_returns=0)
         return self._next_plan(self._draft(view, others, now), others, wall_ms)
 
     def _check_is_closed(self, zone: str) -> None:
--- a/dunepulley/control/traffic_plan.py
+++ b/dunepulley/control/traffic_plan.py
@@ -10,7 +10,7 @@
 from enum import StrEnum
 from typing import NamedTuple, TypeAlias
 
-NEVER = float("inf")
+INFINITY = float("inf")
 # What tells an older plan from a newer one: epoch and number.
 PlanVersion: TypeAlias = tuple[int, int]
 
@@ -81,7 +81,7 @@
     action: OverrideAction
     operator: str
     reason: str = ""
-    remaining_ms: float = NEVER
+    remaining_ms: float = INFINITY
 
     def is_same_order(self, other: OperatorOverride) -> bool:
         """Whether two overrides differ in the remaining time at most."""
--- a/dunepulley/control/zone_history.py
+++ b/dunepulley/control/zone_history.py
@@ -9,7 +9,7 @@
 from typing import NamedTuple
 
 from dunepulley.control.fleet_view import ZoneView
-from dunepulley.control.traffic_plan import CLOSED_STATES, NEVER, ZonePlan, ZoneState
+from dunepulley.control.traffic_plan import CLOSED_STATES, INFINITY, ZonePlan, ZoneState
 
 # A zone that returned and was lost again waits longer each time, until it has been well for this long.
 FAILED_RETURNS_FORGOTTEN_MS = 120_000.0
@@ -27,11 +27,11 @@
 
     state: ZoneState = ZoneState.LOCAL
     state_since_ms: float = 0.0
-    lost_since_ms: float = NEVER
-    overloaded_since_ms: float = NEVER
+    lost_since_ms: float = INFINITY
+    overloaded_since_ms: float = INFINITY
     failed_returns: int = 0
     # When the fraction that spills over last changed.
-    spillover_changed_ms: float = -NEVER
+    spillover_changed_ms: float = -INFINITY
 
 
 def with_plan(history: ZoneHistory, before: ZonePlan, after: ZonePlan, now: float) -> ZoneHistory:
@@ -55,8 +55,8 @@
     local_for_ms = now - history.state_since_ms if history.state == ZoneState.LOCAL else 0.0
     forgotten = local_for_ms > FAILED_RETURNS_FORGOTTEN_MS
     return history._replace(
-        lost_since_ms=min(history.lost_since_ms, now) if lost else NEVER,
-        overloaded_since_ms=min(history.overloaded_since_ms, now) if overloaded else NEVER,
+        lost_since_ms=min(history.lost_since_ms, now) if lost else INFINITY,
+        overloaded_since_ms=min(history.overloaded_since_ms, now) if overloaded else INFINITY,
         failed_returns=0 if forgotten else history.failed_returns,
     )
 
--- a/dunepulley/load/check.py
+++ b/dunepulley/load/check.py
@@ -10,8 +10,8 @@
 from typing import Any, NamedTuple
 
 from dunepulley.load.faults import CLIENTS, DISCOVERY
-from dunepulley.model.day import LINKS, Day, zone_of
 from dunepulley.model.rules import Rules
+from dunepulley.model.scenario import LINKS, Scenario, zone_of
 
 # Up to so long after its time an answer only earns nothing; later, or never, the item is lost.
 ANSWER_SLACK_MS = 500.0
@@ -69,11 +69,13 @@
 class Checker:
     """Reads a record from its first event to its last."""
 
-    def __init__(self, day: Day, events: list[dict[str, Any]]) -> None:
-        self.day, self.events = day, events
+    def __init__(self, scenario: Scenario, events: list[dict[str, Any]]) -> None:
+        self.scenario, self.events = scenario, events
         self.links, self.processes = spans_of(events)
-        self.rules = Rules(day._replace(drain_grace_ms=day.drain_grace_ms + SLACK_MS), ANSWER_SLACK_MS)
-        self.categories = {category.name: category for category in day.categories}
+        self.rules = Rules(
+            scenario._replace(drain_grace_ms=scenario.drain_grace_ms + SLACK_MS), ANSWER_SLACK_MS
+        )
+        self.categories = {category.name: category for category in scenario.categories}
         self.homes: dict[str, str] = {}
         self.sent: dict[str, tuple[float, str]] = {}
         self.category: dict[str, str] = {}
@@ -106,7 +108,12 @@
 
     def _place(self, name: str, **more: Any) -> Place:
         number = int(name[1:])
-        return Place(name, zone_of(self.day, number, self.day.workers), str(number % self.day.cells), **more)
+        return Place(
+            name,
+            zone_of(self.scenario, number, self.scenario.workers),
+            str(number % self.scenario.cells),
+            **more,
+        )
 
     def _read_sent(self, at: float, event: dict[str, Any]) -> None:
         request_id = event["wi"]
@@ -135,12 +142,12 @@
             self.rules.notified[home, worker] = self._heard(home, told)
             self.rules.attempt_sent(at, home, worker)
         if "able" in event:
-            able = event["able"] / self.day.slots
-            place = self._place(worker, since=at, speed=able, slots=self.day.slots)
+            able = event["able"] / self.scenario.slots
+            place = self._place(worker, since=at, speed=able, slots=self.scenario.slots)
             self.rules.attempt_arrived(at, place, event["work"])
         out = self.out.setdefault(request_id, set())
         # One worker gets one hand-off of an item at a time, also where there may be copies elsewhere.
-        wrong = worker in out or (out and not self.day.second_copies)
+        wrong = worker in out or (out and not self.scenario.second_copies)
         if wrong and not self._during(self.links, {home, *out}, 0.0, at):
             self.rules.report_violation(
                 "copies", f"{request_id} was out at {', '.join(sorted(out))} and sent to {worker}"
@@ -201,9 +208,9 @@
     }
 
 
-def broken_in(day: Day, events: list[dict[str, Any]]) -> list[str]:
+def broken_in(scenario: Scenario, events: list[dict[str, Any]]) -> list[str]:
     """What a run went against; raises ValueError where the record is not of this day."""
     try:
-        return Checker(day, events).broken()
+        return Checker(scenario, events).broken()
     except (KeyError, TypeError, AttributeError) as problem:
         raise ValueError(f"the record is of another day, or no record: {problem!r}") from problem
--- a/dunepulley/load/clients.py
+++ b/dunepulley/load/clients.py
@@ -10,8 +10,8 @@
 
 from dunepulley.load import faults
 from dunepulley.load.record import Record
-from dunepulley.model.day import Category, Day
 from dunepulley.model.results import percentiles
+from dunepulley.model.scenario import RequestClass, Scenario
 
 # A client whose connection is refused tries so many other dispatchers.
 MAX_OTHERS = 2
@@ -58,8 +58,10 @@
 class Clients:
     """Sends a run's requests and counts what came back."""
 
-    def __init__(self, day: Day, dispatchers: Dispatchers, record: Record) -> None:
-        self.categories: dict[str, Category] = {category.name: category for category in day.categories}
+    def __init__(self, scenario: Scenario, dispatchers: Dispatchers, record: Record) -> None:
+        self.categories: dict[str, RequestClass] = {
+            category.name: category for category in scenario.categories
+        }
         self.dispatchers, self.record = dispatchers, record
         # Which dispatcher each request was sent to: clients go elsewhere where their connection is refused.
         self.dispatcher_of: dict[str, str] = {}
--- a/dunepulley/load/faults.py
+++ b/dunepulley/load/faults.py
@@ -9,7 +9,7 @@
 
 from dunepulley.load.links import BACK, THERE, Link
 from dunepulley.load.record import Record
-from dunepulley.model.day import CLOCK, COMMON, LINKS, PROCESSES, Day, Fault, zone_of
+from dunepulley.model.scenario import CLOCK, COMMON, LINKS, PROCESSES, Fault, Scenario, zone_of
 
 CLIENTS, DISCOVERY = "clients", "discovery"
 # Each is a listening socket, and two more for each connection that it carries.
@@ -19,10 +19,10 @@
 class Names:
     """Who takes part in a day: dispatchers n0, n1, ..., workers w0, ..., an agent for each zone, hz0, ..."""
 
-    def __init__(self, day: Day) -> None:
-        homes = {f"n{k}": zone_of(day, k, day.dispatchers) for k in range(day.dispatchers)}
-        sites = {f"w{k}": zone_of(day, k, day.workers) for k in range(day.workers)}
-        agents = {f"h{zone}": zone for zone in sorted({*homes.values()})} if day.way == COMMON else {}
+    def __init__(self, scenario: Scenario) -> None:
+        homes = {f"n{k}": zone_of(scenario, k, scenario.dispatchers) for k in range(scenario.dispatchers)}
+        sites = {f"w{k}": zone_of(scenario, k, scenario.workers) for k in range(scenario.workers)}
+        agents = {f"h{zone}": zone for zone in sorted({*homes.values()})} if scenario.way == COMMON else {}
         self.zones = {"dispatchers": homes, "workers": sites, "agents": agents}
         self.homes, self.sites, self.agents = homes, sites, agents
 
@@ -98,10 +98,10 @@
     return [each for number, each in enumerate(some) if number in chosen]
 
 
-def planned(day: Day, seed: int) -> list[Planned]:
+def planned(scenario: Scenario, seed: int) -> list[Planned]:
     """The faults of a day with one seed; raises ValueError where one makes no sense."""
-    names, chance = Names(day), random.Random(seed)
-    faults = [Planned(number, fault, names, chance) for number, fault in enumerate(day.faults)]
+    names, chance = Names(scenario), random.Random(seed)
+    faults = [Planned(number, fault, names, chance) for number, fault in enumerate(scenario.faults)]
     count = len({link for each in faults for link in each.links})
     if count > MOST_LINKS:
         raise ValueError(f"the faults take {count} links, more than {MOST_LINKS}")
--- a/dunepulley/load/links.py
+++ b/dunepulley/load/links.py
@@ -31,12 +31,12 @@
 class Link:
     """One link; whoever starts it closes it."""
 
-    def __init__(self, target: str, seed: int = 0, tell: Callable[[str], None] = lambda text: None) -> None:
+    def __init__(self, target: str, seed: int = 0, log: Callable[[str], None] = lambda text: None) -> None:
         self.target = target
         self.ways = {THERE: Way(), BACK: Way()}
         self.refusing = False
         self.chance = random.Random(seed)
-        self.tell = tell
+        self.log = log
         self.tasks: set[asyncio.Task] = set()
         self.writers: set[asyncio.StreamWriter] = set()
         self.server: asyncio.Server | None = None
@@ -58,7 +58,7 @@
         """Carry nothing any more, in these directions or in both."""
         for way in ways or (THERE, BACK):
             self.ways[way].whole.clear()
-        self.tell(f"cut {' '.join(ways) or 'both ways'}")
+        self.log(f"cut {' '.join(ways) or 'both ways'}")
 
     def mend(self) -> None:
         """Be whole, at once and without loss."""
@@ -66,13 +66,13 @@
         for way in self.ways.values():
             way.whole.set()
             way.late_ms = way.lossy = 0.0
-        self.tell("whole")
+        self.log("whole")
 
     def slow(self, late_ms: float, lossy: float = 0.0) -> None:
         """Carry all so much later, and this part of it later still, as what is lost is sent again."""
         for way in self.ways.values():
             way.late_ms, way.lossy = late_ms, lossy
-        self.tell(f"late by {late_ms:g} ms, lossy {lossy:g}")
+        self.log(f"late by {late_ms:g} ms, lossy {lossy:g}")
 
     def refuse(self) -> None:
         """Break every connection, and each new one at once."""
@@ -83,7 +83,7 @@
         """Break every connection."""
         for writer in list(self.writers):
             writer.transport.abort()
-        self.tell("reset")
+        self.log("reset")
 
     async def _came(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
--- a/dunepulley/load/local.py
+++ b/dunepulley/load/local.py
@@ -59,8 +59,8 @@
     }
 
 
-async def call_back(
-    session: aiohttp.ClientSession, address: str, told: dict[str, Any], pause_s: float
+async def send_callback(
+    session: aiohttp.ClientSession, address: str, told: dict[str, Any], retry_pause_s: float
 ) -> None:
     """Tell a dispatcher what became of a hand-off, until it is answered, ten times at most."""
     for _ in range(10):
@@ -69,7 +69,7 @@
             async with session.post(url, data=body) as answer:
                 if answer.status in (200, 204):
                     return
-        await asyncio.sleep(pause_s)
+        await asyncio.sleep(retry_pause_s)
 
 
 class Catalog:
@@ -115,7 +115,7 @@
 
 
 @contextlib.asynccontextmanager
-async def catalog(members: list[dict[str, Any]]) -> AsyncIterator[tuple[Catalog, str]]:
+async def serve_catalog(members: list[dict[str, Any]]) -> AsyncIterator[tuple[Catalog, str]]:
     """A discovery that tells these workers, and its address."""
     here = Catalog(members)
     runner, address = await serve(web.Server(here.watch, access_log=None))
@@ -128,5 +128,5 @@
 @contextlib.asynccontextmanager
 async def discovery(members: list[dict[str, Any]]) -> AsyncIterator[str]:
     """A discovery whose list stays as it is; its address."""
-    async with catalog(members) as (_, address):
+    async with serve_catalog(members) as (_, address):
         yield address
--- a/dunepulley/load/play.py
+++ b/dunepulley/load/runner.py
@@ -21,16 +21,16 @@
 from dunepulley import trace_format
 from dunepulley.load import check, faults
 from dunepulley.load.clients import ClientRequest, Clients, Dispatchers, open_session
-from dunepulley.load.local import Catalog, RealTime, catalog, free_ports, member
+from dunepulley.load.local import Catalog, RealTime, free_ports, member, serve_catalog
 from dunepulley.load.processes import Processes
 from dunepulley.load.record import Record, RecordError, read
-from dunepulley.load.stub_servers import StubServers, load_of
+from dunepulley.load.stub_servers import StubServers, load_report_fields
 from dunepulley.model import compare
-from dunepulley.model import day as days
+from dunepulley.model import scenario as scenarios
 from dunepulley.model.plans import simulated_regions
+from dunepulley.model.server import ModelServer
+from dunepulley.model.simulation import Simulation
 from dunepulley.model.traffic import spread_out
-from dunepulley.model.worker import Worker
-from dunepulley.model.world import World
 from dunepulley.routing.events import EndpointState
 
 READY_S = 30.0
@@ -41,19 +41,24 @@
 STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING}
 
 
-class Play:
+class LoadRun:
     """One run: stubs of all that dispatchers speak with, their processes, and what happened."""
 
     def __init__(
-        self, day: days.Day, seed: int, due: dict[str, ClientRequest], world: World, folder: Path
+        self,
+        scenario: scenarios.Scenario,
+        seed: int,
+        due: dict[str, ClientRequest],
+        simulation: Simulation,
+        folder: Path,
     ) -> None:
-        self.day, self.seed, self.due, self.world = day, seed, due, world
+        self.day, self.seed, self.due, self.simulation = scenario, seed, due, simulation
         self.time = RealTime()
         self.record = Record(lambda: self.time.now)
-        self.names = faults.Names(day)
-        self.faults = faults.Faults(faults.planned(day, seed), self.record, seed)
+        self.names = faults.Names(scenario)
+        self.faults = faults.Faults(faults.planned(scenario, seed), self.record, seed)
         self.processes = Processes(folder)
-        self.stub_servers = StubServers(self, self.time, day.cancel, day.tells_start)
+        self.stub_servers = StubServers(self, self.time, scenario.cancel, scenario.tells_start)
         self.chance = np.random.default_rng(seed)
         count = len(self.names.homes)
         ports = free_ports(2 * count + len(self.names.agents))
@@ -66,24 +71,26 @@
         self.told: dict[str, dict[str, str]] = {name: {} for name in self.names.homes}
         self.entries: dict[str, dict[str, Any]] = {}
         self.list_late = self.reports_late = 0.0
-        self.shots: dict[str, list[tuple[float, dict[str, float]]]] = {name: [] for name in world.workers}
+        self.shots: dict[str, list[tuple[float, dict[str, float]]]] = {
+            name: [] for name in simulation.workers
+        }
         self.dispatchers = Dispatchers(self.names.homes, self.listen, self.faults)
-        self.clients = Clients(day, self.dispatchers, self.record)
+        self.clients = Clients(scenario, self.dispatchers, self.record)
         self.tasks: set[asyncio.Task] = set()
 
     # ---------------------------------------------------------------- what stub servers ask
 
-    def work_of(self, request_id: str, headers: Any) -> float | None:
+    def find_work_ms(self, request_id: str, headers: Any) -> float | None:
         """What an item takes."""
         due = self.due.get(request_id.partition("-")[0])
         return None if due is None or request_id not in self.clients.dispatcher_of else due.work
 
-    def callback_of(self, request_id: str, worker: str) -> str:
+    def callback_address(self, request_id: str, worker: str) -> str:
         """Where a dispatcher hears of an item."""
         home = self.clients.dispatcher_of[request_id]
         return self.faults.through(worker, home, f"127.0.0.1:{self.listen[home]}")
 
-    def happened(self, what: str, worker: str, request_id: str, work: float) -> None:
+    def record_event(self, what: str, worker: str, request_id: str, work: float) -> None:
         """Write down what becomes of a hand-off."""
         more = {}
         one = self.stub_servers.workers[worker]
@@ -93,11 +100,11 @@
                 more["able"] = one.speed * one.factors.get("cold", 1.0) * one.slots
         self.record.note(what, worker=worker, wi=request_id, **more)
 
-    def report_of(self, worker: Worker) -> dict[str, float]:
+    def load_report(self, worker: ModelServer) -> dict[str, float]:
         """As in the model: refreshed now and then, some way behind."""
         now, shots = self.time.now, self.shots[worker.name]
         if not shots or now - shots[-1][0] >= self.day.report_period_ms:
-            shots.append((now, load_of(worker)))
+            shots.append((now, load_report_fields(worker)))
         while len(shots) > 1 and shots[1][0] <= now - self.day.report_delay_ms - self.reports_late:
             shots.pop(0)
         return shots[0][1]
@@ -108,8 +115,8 @@
         """Have a worker's process listen, and note what the list is to tell of it."""
         one = self.stub_servers.workers.get(name)
         if one is None:
-            w = self.world.workers[name]
-            one = Worker(self.time, name, w.zone, w.kind, w.cell, w.slots, w.most, w.speed)
+            w = self.simulation.workers[name]
+            one = ModelServer(self.time, name, w.zone, w.kind, w.cell, w.slots, w.most, w.speed)
         address = await self.stub_servers.open(one)
         entry = member(name, address, one.zone, one.kind, one.cell)
         self.entries[name] = entry | {"up_since_ms": since and since + self.faults.clocks.get(name, 0.0)}
@@ -117,7 +124,7 @@
     def listed(self, me: str) -> list[dict[str, Any]]:
         """The list as a dispatcher's discovery has it once all that is under way has come."""
         mine = self.entries.values()
-        if self.day.way == days.FIXED:
+        if self.day.way == scenarios.FIXED:
             mine = [each for each in mine if each["locality"] == self.names.homes[me]]
         return [self._reached(me, each) for each in mine]
 
@@ -131,11 +138,11 @@
             self.time.at(self.time.now + late, functools.partial(self._tell, me, name))
 
     def _tell(self, me: str, name: str) -> None:
-        entry, catalog = self.entries.get(name), self.catalogs[me]
-        if self.day.way == days.FIXED and self.world.workers[name].zone != self.names.homes[me]:
+        entry, serve_catalog = self.entries.get(name), self.catalogs[me]
+        if self.day.way == scenarios.FIXED and self.simulation.workers[name].zone != self.names.homes[me]:
             return
-        others = [each for each in catalog.members if each["id"] != name]
-        catalog.replace([*others, self._reached(me, entry)] if entry is not None else others)
+        others = [each for each in serve_catalog.members if each["id"] != name]
+        serve_catalog.replace([*others, self._reached(me, entry)] if entry is not None else others)
 
     def _wrote(self, me: str, members: list[dict[str, Any]]) -> None:
         """Discovery has written its list to a dispatcher."""
@@ -165,15 +172,15 @@
             one.start()
             self.shots[name].clear()
             await self.open(name, time.time() * 1000.0)
-            one.warm(self.day.cold_from, self.day.cold_s * 1000.0)
+            one.warm_up(self.day.cold_from, self.day.cold_s * 1000.0)
             self._change(name)
 
     def trouble(self, begin: float) -> None:
         """Set up what goes wrong from a moment on, as in the model."""
         workers = self.stub_servers.workers
-        for at, name, cause, factor in self.world.troubles.speed_changes:
+        for at, name, cause, factor in self.simulation.troubles.speed_changes:
             self.time.at(begin + at, functools.partial(workers[name].set_factor, cause, factor))
-        for at, what, name in self.world.troubles.worker_events:
+        for at, what, name in self.simulation.troubles.worker_events:
             self.time.at(begin + at, functools.partial(self._do, self._happen, what, name))
         for each in self.day.troubles:
             if each.kind in ("late reports", "late list"):
@@ -259,10 +266,12 @@
             await stack.enter_async_context(self.stub_servers)
             await stack.enter_async_context(self.faults)
             stack.push_async_callback(self.processes.close)
-            for name in self.world.workers:
+            for name in self.simulation.workers:
                 await self.open(name, 0.0)
             for name in self.names.homes:
-                here, self.discoveries[name] = await stack.enter_async_context(catalog(self.listed(name)))
+                here, self.discoveries[name] = await stack.enter_async_context(
+                    serve_catalog(self.listed(name))
+                )
                 here.wrote = functools.partial(self._wrote, name)
                 self.catalogs[name] = here
             write_configurations(self, settings)
@@ -288,10 +297,10 @@
         return found | {"broken": broken, "seed": self.seed}
 
 
-def write_configurations(run: Play, settings: dict[str, Any]) -> None:
+def write_configurations(run: LoadRun, settings: dict[str, Any]) -> None:
     """The files of dispatchers and agents."""
     folder = run.processes.folder
-    common = run.day.way == days.COMMON
+    common = run.day.way == scenarios.COMMON
     for me, name in enumerate(run.names.homes):
         agent = run.faults.through(name, faults.DISCOVERY, run.discoveries[name])
         more: dict[str, Any] = {"listen": f"127.0.0.1:{run.listen[name]}", "discovery": agent}
@@ -306,7 +315,7 @@
         (folder / "regions.toml").write_text(regions_text(run.day))
 
 
-def agent_configuration(run: Play, name: str, zone: str) -> str:
+def agent_configuration(run: LoadRun, name: str, zone: str) -> str:
     """The configuration of a zone's agent, a TOML text."""
     lines = [f'listen = "127.0.0.1:{run.agents[name]}"', f'state = "{name}-drains.json"']
     lines.append("answer_s = 1.0")
@@ -324,36 +333,38 @@
     return "\n".join(lines) + "\n"
 
 
-def regions_text(day: days.Day) -> str:
+def regions_text(scenario: scenarios.Scenario) -> str:
     """The operators' file of the day's regions."""
     lines = []
-    for region in simulated_regions(day.zones, day.regions).regions:
+    for region in simulated_regions(scenario.zones, scenario.regions).regions:
         lines += ["[[region]]", f'name = "{region.name}"']
         lines += [f"zones = {json.dumps(region.zones)}", f"near = {json.dumps(region.near)}"]
     return "\n".join(lines) + "\n"
 
 
-def due_of(day: days.Day, world: World) -> dict[str, ClientRequest]:
+def due_of(scenario: scenarios.Scenario, simulation: Simulation) -> dict[str, ClientRequest]:
     """The items that the model would see, by id."""
     return {
-        wi: ClientRequest(at, category.name, category.expiry_ms, work if day.hints else 0.0, 64, work, home)
-        for wi, at, category, work, home in world.planned
+        wi: ClientRequest(
+            at, category.name, category.expiry_ms, work if scenario.hints else 0.0, 64, work, home
+        )
+        for wi, at, category, work, home in simulation.planned
     }
 
 
 def due_of_trace(
-    day: days.Day, came: list[trace_format.RecordedRequest], seed: int
+    scenario: scenarios.Scenario, came: list[trace_format.RecordedRequest], seed: int
 ) -> dict[str, ClientRequest]:
     """The items of a trace; what they run is their hint, or drawn from the day's category."""
     draw = np.random.default_rng(seed)
-    known = {category.name: category for category in day.categories}
+    known = {category.name: category for category in scenario.categories}
     due = {}
     for number, each in enumerate(came):
         category = known.get(each.category)
         if category is None:
             raise trace_format.TraceError(f"line {number + 2}: the day has no category {each.category}")
         drawn = category.work_ms * float(spread_out(draw.normal(), category.work_cv))
-        home = int(draw.integers(0, day.dispatchers))
+        home = int(draw.integers(0, scenario.dispatchers))
         work = each.hint or drawn
         due[f"i{number}"] = ClientRequest(
             each.at, each.category, each.budget, each.hint, each.size, work, home
@@ -376,18 +387,20 @@
     return told
 
 
-def told_of(day: days.Day, seed: int, me: int, settings: dict[str, Any], **more: Any) -> dict[str, Any]:
+def told_of(
+    scenario: scenarios.Scenario, seed: int, me: int, settings: dict[str, Any], **more: Any
+) -> dict[str, Any]:
     """A dispatcher's configuration."""
     return {
         "name": f"n{me}",
         "seed": f"{seed * 1009 + me:x}",
         "limits": {"sockets": SOCKETS},
-        "settings": nested(days.settings_of(day, me) | settings),
+        "settings": nested(scenarios.settings_of(scenario, me) | settings),
     } | more
 
 
-async def play(
-    day: days.Day,
+async def run_scenario(
+    scenario: scenarios.Scenario,
     seed: int,
     settings: dict[str, Any],
     came: list[trace_format.RecordedRequest] | None,
@@ -397,10 +410,10 @@
 
     `record` is where to write it down, and of which day; raises RecordError where that cannot be done.
     """
-    world = World(day, seed)
-    due = due_of(day, world) if came is None else due_of_trace(day, came, seed)
+    simulation = Simulation(scenario, seed)
+    due = due_of(scenario, simulation) if came is None else due_of_trace(scenario, came, seed)
     with tempfile.TemporaryDirectory() as folder:
-        one = Play(day, seed, due, world, Path(folder))
+        one = LoadRun(scenario, seed, due, simulation, Path(folder))
         task = asyncio.current_task()
         # Told to end by whom it may be, it still ends what it started.
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
@@ -415,13 +428,13 @@
 def run(chosen: argparse.Namespace) -> int:
     """Carry out `dunepulley load`; 1 where a rule was broken, 2 where words or files cannot be used."""
     try:
-        day = days.read(chosen.day)
-        settings = compare.settings_in(chosen.settings) if chosen.settings else {}
+        scenario = scenarios.read(chosen.day)
+        settings = compare.read_settings(chosen.settings) if chosen.settings else {}
         came = trace_format.read_trace(chosen.trace) if chosen.trace else None
         if chosen.check:
-            return _tell_broken(check.broken_in(day, read(chosen.check)))
-        _check_playable(day, came, chosen)
-    except (days.UnusableError, trace_format.TraceError, RecordError, ValueError) as problem:
+            return _tell_broken(check.broken_in(scenario, read(chosen.check)))
+        _check_playable(scenario, came, chosen)
+    except (scenarios.ScenarioError, trace_format.TraceError, RecordError, ValueError) as problem:
         print(f"dunepulley: {problem}", file=sys.stderr)
         return 2
     found = []
@@ -429,7 +442,7 @@
         begun = time.monotonic()
         try:
             record = (chosen.record, chosen.day) if chosen.record else None
-            found.append(asyncio.run(play(day, seed, settings, came, record)))
+            found.append(asyncio.run(run_scenario(scenario, seed, settings, came, record)))
         except (trace_format.TraceError, RecordError) as problem:
             print(f"dunepulley: {problem}", file=sys.stderr)
             return 2
@@ -444,17 +457,19 @@
 
 
 def _check_playable(
-    day: days.Day, came: list[trace_format.RecordedRequest] | None, chosen: argparse.Namespace
+    scenario: scenarios.Scenario, came: list[trace_format.RecordedRequest] | None, chosen: argparse.Namespace
 ) -> None:
     """Raise ValueError where the day cannot be played as chosen."""
     for seed in chosen.seeds:
-        faults.planned(day, seed)
-    longest = max([day.seconds, came[-1].at / 1000.0 if came else 0.0, *[f.to_s for f in day.faults]])
+        faults.planned(scenario, seed)
+    longest = max(
+        [scenario.seconds, came[-1].at / 1000.0 if came else 0.0, *[f.to_s for f in scenario.faults]]
+    )
     if longest > MOST_S:
         raise ValueError(f"{longest:g} s are more than the {MOST_S:g} s that are played")
     if chosen.record and len(chosen.seeds) > 1:
         raise ValueError("a record is of one seed")
-    if day.way == days.COMMON and day.dispatchers < day.zones:
+    if scenario.way == scenarios.COMMON and scenario.dispatchers < scenario.zones:
         raise ValueError(f"{chosen.day}: each zone's agent needs a dispatcher")
 
 
--- a/dunepulley/load/stub_servers.py
+++ b/dunepulley/load/stub_servers.py
@@ -12,8 +12,8 @@
 import aiohttp
 from aiohttp import web
 
-from dunepulley.load.local import RealTime, call_back, serve
-from dunepulley.model.worker import Job, Worker
+from dunepulley.load.local import RealTime, send_callback, serve
+from dunepulley.model.server import Job, ModelServer
 
 # Before a callback that was not answered is sent again.
 PAUSE_S = 0.05
@@ -24,16 +24,16 @@
 class Site(Protocol):
     """What stub servers are part of: whose work it is, and who writes down what happens."""
 
-    def work_of(self, request_id: str, headers: Any) -> float | None:
+    def find_work_ms(self, request_id: str, headers: Any) -> float | None:
         """What an item takes at a worker of speed 1, in ms; none for an id that no client sent."""
 
-    def callback_of(self, request_id: str, worker: str) -> str:
+    def callback_address(self, request_id: str, worker: str) -> str:
         """The address at which the dispatcher of an item hears of it, from this worker."""
 
-    def happened(self, what: str, worker: str, request_id: str, work: float) -> None:
+    def record_event(self, what: str, worker: str, request_id: str, work: float) -> None:
         """Of a hand-off: 'arrived', 'full', 'began', 'finished', 'lost', 'given up', or 'unheard'."""
 
-    def report_of(self, worker: Worker) -> dict[str, float] | None:
+    def load_report(self, worker: ModelServer) -> dict[str, float] | None:
         """The load report that the end of an item carries, if any."""
 
 
@@ -45,12 +45,12 @@
         site: Site,
         time: RealTime,
         cancels: bool = True,
-        tells_start: bool = True,
-        pause_s: float = PAUSE_S,
+        reports_start: bool = True,
+        retry_pause_s: float = PAUSE_S,
     ) -> None:
         self.site, self.time = site, time
-        self.cancels, self.tells_start, self.pause_s = cancels, tells_start, pause_s
-        self.workers: dict[str, Worker] = {}
+        self.cancels, self.reports_start, self.retry_pause_s = cancels, reports_start, retry_pause_s
+        self.workers: dict[str, ModelServer] = {}
         self.addresses: dict[str, str] = {}
         self.jobs: dict[tuple[str, str], Job] = {}
         self.servers: dict[str, tuple[web.Server, web.ServerRunner]] = {}
@@ -72,7 +72,7 @@
 
     # ---------------------------------------------------------------- their lives
 
-    async def open(self, worker: Worker, port: int = 0) -> str:
+    async def open(self, worker: ModelServer, port: int = 0) -> str:
         """Have a worker listen, at a port of its own or at this one; its address."""
         self.workers[worker.name] = worker
         server = web.Server(functools.partial(self._serve, worker), access_log=None)
@@ -104,16 +104,16 @@
 
     # ---------------------------------------------------------------- hand-offs
 
-    async def _serve(self, worker: Worker, request: web.BaseRequest) -> web.Response:
+    async def _serve(self, worker: ModelServer, request: web.BaseRequest) -> web.Response:
         if worker.name in self.silent:
-            self.site.happened("unheard", worker.name, request.headers.get("X-Call-Id", ""), 0.0)
+            self.site.record_event("unheard", worker.name, request.headers.get("X-Call-Id", ""), 0.0)
             await self.silent[worker.name].wait()
             return web.Response(status=503)  # to nobody: its connection is broken by now
         if request.method == "DELETE":
             request_id = request.path.rpartition("/")[2]
             job = self.jobs.get((worker.name, request_id))
             # Also one that has not been read yet: its connection is closed, and it may overtake it.
-            self.site.happened("given up", worker.name, request_id, 0.0)
+            self.site.record_event("given up", worker.name, request_id, 0.0)
             if job is not None and worker.drop(job, self.cancels):
                 del self.jobs[worker.name, request_id]
             return web.Response(status=204)
@@ -121,38 +121,38 @@
             return web.Response(status=404)
         await request.read()
         request_id = request.headers.get("X-Call-Id", "")
-        work = self.site.work_of(request_id, request.headers)
+        work = self.site.find_work_ms(request_id, request.headers)
         if work is None:
             return web.Response(status=400)
-        self.site.happened("arrived", worker.name, request_id, work)
+        self.site.record_event("arrived", worker.name, request_id, work)
         job = Job(request_id, work, 1.0, functools.partial(self._tell, worker, request_id, work))
         # Known before it begins: its first word may come at once.
         self.jobs[worker.name, request_id] = job
         if not worker.offer(job):
             del self.jobs[worker.name, request_id]
-            self.site.happened("full", worker.name, request_id, work)
+            self.site.record_event("full", worker.name, request_id, work)
             return web.Response(status=503, headers={"X-Rejected": "1"})
         return web.Response(status=202)
 
-    def _tell(self, worker: Worker, request_id: str, work: float, what: str) -> None:
-        self.site.happened(what, worker.name, request_id, work)
-        if what == "began" and not self.tells_start:
+    def _tell(self, worker: ModelServer, request_id: str, work: float, what: str) -> None:
+        self.site.record_event(what, worker.name, request_id, work)
+        if what == "began" and not self.reports_start:
             return
         told: dict[str, Any] = {"id": request_id, "from": worker.name, "state": STATES.get(what, "lost")}
         if what == "finished":
             told["result"] = "made"
-            report = self.site.report_of(worker)
+            report = self.site.load_report(worker)
             if report is not None:
                 told["load"] = report
         if what != "began":
             self.jobs.pop((worker.name, request_id), None)
-        address = self.site.callback_of(request_id, worker.name)
-        task = asyncio.create_task(call_back(self.session, address, told, self.pause_s))
+        address = self.site.callback_address(request_id, worker.name)
+        task = asyncio.create_task(send_callback(self.session, address, told, self.retry_pause_s))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
 
-def load_of(worker: Worker) -> dict[str, float]:
+def load_report_fields(worker: ModelServer) -> dict[str, float]:
     """A worker's figures as a load report names them."""
     told = worker.report()
     return {"qps": told["rate"], "queue": told["queue"], "x0": told["x0"]}
--- a/dunepulley/model/command.py
+++ b/dunepulley/model/command.py
@@ -8,7 +8,7 @@
 from typing import Any
 
 
-def seeds_of(text: str) -> list[int]:
+def parse_seeds(text: str) -> list[int]:
     """Seeds such as 7 or 1-20."""
     first, _, last = text.partition("-")
     if not first.isdecimal() or (last and not last.isdecimal()) or len(text) > 20:
@@ -25,8 +25,8 @@
     two = commands.add_parser("compare", help="two settings or two versions on the same simulated days")
     for command in (one, two):
         command.add_argument("day", help="the day's description, a TOML file")
-        usual = seeds_of("1-10")
-        command.add_argument("--seeds", type=seeds_of, default=usual, help="such as 1-20 (usual: 1-10)")
+        usual = parse_seeds("1-10")
+        command.add_argument("--seeds", type=parse_seeds, default=usual, help="such as 1-20 (usual: 1-10)")
         command.add_argument("--processes", type=int, default=os.cpu_count() or 1)
         command.add_argument("--json", action="store_true")
     one.add_argument("--settings", help="settings over the day's own, a TOML file")
--- a/dunepulley/model/compare.py
+++ b/dunepulley/model/compare.py
@@ -12,9 +12,9 @@
 
 import numpy as np
 
-from dunepulley.model import day as days
+from dunepulley.model import scenario as scenarios
 from dunepulley.model.routing_loader import load_router
-from dunepulley.model.world import World
+from dunepulley.model.simulation import Simulation
 from dunepulley.routing.router import Router
 
 # Resamples of the seeds; more moves an end of the interval by less than what is printed.
@@ -22,31 +22,33 @@
 LEVEL = 0.95
 
 
-class Way(NamedTuple):
+class Variant(NamedTuple):
     """One way of deciding: settings over the day's own, and the path of another routing package, if any."""
 
     settings: dict[str, Any]
     module: str = ""
 
 
-def play(day: days.Day, seed: int, way: Way) -> dict[str, Any]:
+def run_scenario(scenario: scenarios.Scenario, seed: int, way: Variant) -> dict[str, Any]:
     """One day with one seed."""
     build = load_router(way.module) if way.module else Router
-    return World(day, seed, build, way.settings).run() | {"seed": seed}
+    return Simulation(scenario, seed, build, way.settings).run() | {"seed": seed}
 
 
-def play_all(day: days.Day, seeds: list[int], ways: list[Way], processes: int) -> list[list[dict[str, Any]]]:
+def run_all(
+    scenario: scenarios.Scenario, seeds: list[int], ways: list[Variant], processes: int
+) -> list[list[dict[str, Any]]]:
     """Every seed with every way, in order, over some processes."""
-    jobs = [(day, seed, way) for way in ways for seed in seeds]
+    jobs = [(scenario, seed, way) for way in ways for seed in seeds]
     if processes <= 1:
-        found = [play(*job) for job in jobs]
+        found = [run_scenario(*job) for job in jobs]
     else:
         with ProcessPoolExecutor(processes) as pool:
-            found = list(pool.map(play, *zip(*jobs, strict=True)))
+            found = list(pool.map(run_scenario, *zip(*jobs, strict=True)))
     return [found[at : at + len(seeds)] for at in range(0, len(found), len(seeds))]
 
 
-def interval(figures: list[float], count: int = 0) -> tuple[float, float, float]:
+def bootstrap_interval(figures: list[float], count: int = 0) -> tuple[float, float, float]:
     """The mean, and where it (or that of `count` of them) lies with 95%, by a bootstrap over the seeds."""
     some = np.asarray(figures, dtype=float)
     draws = np.random.default_rng(0).integers(0, len(some), (RESAMPLES, count or len(some)))
@@ -60,7 +62,7 @@
     assert all([a["seed"] == b["seed"] for a, b in pairs]), "not the same seeds"
     broken = [f"{name}, seed {run['seed']}: {each}" for name, some in (("a", one), ("b", two))
               for run in some for each in run["broken"]]  # fmt: skip
-    mean, low, high = interval([b["payoff"] - a["payoff"] for a, b in pairs])
+    mean, low, high = bootstrap_interval([b["payoff"] - a["payoff"] for a, b in pairs])
     if broken:
         says = "a rule is broken: the comparison counts for nothing"
     elif len(pairs) < 3:
@@ -70,8 +72,8 @@
     else:
         says = f"no difference seen; one of {max(abs(low), abs(high)):.4f} could still be"
     return {
-        "a": interval([run["payoff"] for run in one]),
-        "b": interval([run["payoff"] for run in two]),
+        "a": bootstrap_interval([run["payoff"] for run in one]),
+        "b": bootstrap_interval([run["payoff"] for run in two]),
         "difference": (mean, low, high),
         "seeds": len(pairs),
         "broken": broken,
@@ -82,18 +84,18 @@
 # ---------------------------------------------------------------- the command line
 
 
-def settings_in(path: str) -> dict[str, Any]:
+def read_settings(path: str) -> dict[str, Any]:
     """Settings of the router in its own words, from a TOML file; tables are joined to names by points.
 
-    Raises `days.UnusableError` where the file cannot be read or holds something else.
+    Raises `scenarios.ScenarioError` where the file cannot be read or holds something else.
     """
     try:
         with Path(path).open("rb") as file:
             return _flattened("", tomllib.load(file))
     except OSError as problem:
-        raise days.UnusableError(f"cannot read {path}: {problem.strerror}") from problem
+        raise scenarios.ScenarioError(f"cannot read {path}: {problem.strerror}") from problem
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, ValueError) as problem:
-        raise days.UnusableError(f"{path}: {problem}") from problem
+        raise scenarios.ScenarioError(f"{path}: {problem}") from problem
 
 
 def _flattened(name: str, value: Any) -> dict[str, Any]:
@@ -113,31 +115,32 @@
 def run(chosen: argparse.Namespace) -> int:
     """Carry out one of them; 1 where a rule was broken, 2 where the words or files cannot be used."""
     try:
-        day = _simulated_day(chosen.day)
+        scenario = _simulated_day(chosen.day)
         ways = _ways(chosen)
-    except (days.UnusableError, ValueError) as problem:
+    except (scenarios.ScenarioError, ValueError) as problem:
         print(f"dunepulley: {problem}", file=sys.stderr)
         return 2
-    found = play_all(day, chosen.seeds, ways, chosen.processes)
+    found = run_all(scenario, chosen.seeds, ways, chosen.processes)
     if chosen.command == "model":
         return _print_runs(found[0], chosen.json)
     return _print_comparison(found, chosen.json)
 
 
-def _simulated_day(path: str) -> days.Day:
+def _simulated_day(path: str) -> scenarios.Scenario:
     """A day that can be simulated; raises ValueError where it has faults of sockets."""
-    day = days.read(path)
-    if day.faults:
-        raise ValueError(f"{path}: fault {day.faults[0].kind} can be played on sockets only (load)")
-    return day
+    scenario = scenarios.read(path)
+    if scenario.faults:
+        raise ValueError(f"{path}: fault {scenario.faults[0].kind} can be played on sockets only (load)")
+    return scenario
 
 
-def _ways(chosen: argparse.Namespace) -> list[Way]:
+def _ways(chosen: argparse.Namespace) -> list[Variant]:
     """The ways that were chosen; raises ValueError or UnusableError where one cannot be loaded."""
     files = [chosen.settings] if chosen.command == "model" else [chosen.a, chosen.b]
     modules = [""] if chosen.command == "model" else [chosen.a_module, chosen.b_module]
     ways = [
-        Way(settings_in(file) if file else {}, module) for file, module in zip(files, modules, strict=True)
+        Variant(read_settings(file) if file else {}, module)
+        for file, module in zip(files, modules, strict=True)
     ]
     for way in ways:
         if way.module:
@@ -171,6 +174,6 @@
         print(f"seed {one['seed']:<5} payoff {one['payoff']:.4f}  {counts}  wasted {one['wasted']:.3f}")
         for each in one["broken"]:
             print(f"  broken, {each}")
-    mean, low, high = interval([one["payoff"] for one in runs])
+    mean, low, high = bootstrap_interval([one["payoff"] for one in runs])
     print(f"payoff in time {mean:.4f}, from {low:.4f} to {high:.4f} over {len(runs)} seeds")
     return 1 if broken else 0
--- a/dunepulley/model/endpoint_lists.py
+++ b/dunepulley/model/endpoint_lists.py
@@ -5,36 +5,36 @@
 import functools
 from typing import TYPE_CHECKING
 
-from dunepulley.model.day import ALONE
+from dunepulley.model.scenario import ALONE
 from dunepulley.routing.events import EndpointEntry, EndpointListUpdate, EndpointState, ListUpdateKind
 
 if TYPE_CHECKING:
-    from dunepulley.model.world import World
+    from dunepulley.model.simulation import Simulation
 
 
 class EndpointLists:
     """The list of a world's workers, which each dispatcher hears of a while after it changed."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        self.day, self.draw = world.day, world.draw["troubles"]
-        self.states = dict.fromkeys(world.workers, EndpointState.READY)
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        self.scenario, self.draw = simulation.scenario, simulation.draw["troubles"]
+        self.states = dict.fromkeys(simulation.workers, EndpointState.READY)
         # What each dispatcher's list says, where more than the list decides what it sees.
-        self.known: list[dict[str, EndpointEntry]] = [{} for _ in range(self.day.dispatchers)]
-        self.seen: list[frozenset[str]] = [frozenset()] * self.day.dispatchers
+        self.known: list[dict[str, EndpointEntry]] = [{} for _ in range(self.scenario.dispatchers)]
+        self.seen: list[frozenset[str]] = [frozenset()] * self.scenario.dispatchers
 
     def tell_all(self) -> None:
         """Tell every dispatcher its first list."""
-        for me in range(self.day.dispatchers):
+        for me in range(self.scenario.dispatchers):
             self._tell_workers(me, ListUpdateKind.FULL, list(self.states))
 
     def change_state(self, name: str, state: EndpointState) -> None:
         """Change a worker's state, of which every dispatcher hears a while later."""
         self.states[name] = state
-        time = self.world.time
-        for me in range(self.day.dispatchers):
+        time = self.simulation.time
+        for me in range(self.scenario.dispatchers):
             drawn = float(self.draw.uniform(0.5, 1.5))
-            delay_ms = self.day.list_delay_ms * drawn + self.world.troubles.list_late_ms
+            delay_ms = self.scenario.list_delay_ms * drawn + self.simulation.troubles.list_late_ms
             tell = functools.partial(self._tell_workers, me, ListUpdateKind.CHANGES, [name])
             time.at(time.now + delay_ms, tell)
 
@@ -61,18 +61,18 @@
     def _usable(self, me: int) -> frozenset[str]:
         """The ready endpoints that the plan, or the dispatcher's fixed zone, lets it use."""
         ready = [entry for entry in self.known[me].values() if entry.state == EndpointState.READY]
-        if self.world.plans is not None:
-            return self.world.plans.usable_endpoints(me, ready)
-        return frozenset([entry.endpoint_id for entry in ready if entry.zone == self.world.homes[me]])
+        if self.simulation.plans is not None:
+            return self.simulation.plans.usable_endpoints(me, ready)
+        return frozenset([entry.endpoint_id for entry in ready if entry.zone == self.simulation.homes[me]])
 
     def _tell_workers(self, me: int, kind: ListUpdateKind, names: list[str]) -> None:
         """Tell a dispatcher these workers as they are by now."""
         entries = []
         for name in names:
-            worker, state = self.world.workers[name], self.states[name]
-            entry = EndpointEntry(name, worker.zone, worker.kind, worker.cell, state, 1.0, worker.since)
+            server, state = self.simulation.workers[name], self.states[name]
+            entry = EndpointEntry(name, server.zone, server.kind, server.cell, state, 1.0, server.since)
             entries.append(entry)
-        if self.day.way == ALONE:
+        if self.scenario.way == ALONE:
             self._tell(me, kind, entries)
         else:
             self.known[me] |= {entry.endpoint_id: entry for entry in entries}
@@ -80,5 +80,5 @@
 
     def _tell(self, me: int, kind: ListUpdateKind, entries: list[EndpointEntry]) -> None:
         for entry in entries:
-            self.world.rules.state_told(self.world.time.now, me, entry.endpoint_id, entry.state)
-        self.world.handle(me, EndpointListUpdate(kind, tuple(entries)))
+            self.simulation.rules.state_told(self.simulation.time.now, me, entry.endpoint_id, entry.state)
+        self.simulation.handle(me, EndpointListUpdate(kind, tuple(entries)))
--- a/dunepulley/model/plans.py
+++ b/dunepulley/model/plans.py
@@ -20,7 +20,7 @@
 from dunepulley.routing.events import CONNECTION_FAILURES, AttemptResult, EndpointEntry, EndpointState
 
 if TYPE_CHECKING:
-    from dunepulley.model.world import World
+    from dunepulley.model.simulation import Simulation
 
 HEARTBEAT_MS = 500.0
 # How long a real agent's plan holds at its dispatchers.
@@ -55,13 +55,13 @@
 class SimulatedAgents:
     """The agents of a simulated fleet, and the followers of its dispatchers."""
 
-    def __init__(self, world: World) -> None:
-        self.world = world
-        scenario = world.day
+    def __init__(self, simulation: Simulation) -> None:
+        self.simulation = simulation
+        scenario = simulation.scenario
         self.planner = Planner("h0", simulated_regions(scenario.zones, scenario.regions))
         self.reports: dict[str, ReportWindow] = {}
         self.followers = [
-            Follower(f"n{number}", world.homes[number]) for number in range(scenario.dispatchers)
+            Follower(f"n{number}", simulation.homes[number]) for number in range(scenario.dispatchers)
         ]
         # Attempts and lost attempts of each dispatcher, by zone.
         self.attempts: list[dict[str, list[int]]] = [{} for _ in range(scenario.dispatchers)]
@@ -90,17 +90,17 @@
         counts[1] += result in CONNECTION_FAILURES
         plan = self.planner.plan
         taken_ms = self.taken_ms.get(plan.number)
-        if taken_ms is None or self.world.time.now <= taken_ms + SILENT_ATTEMPT_MS:
+        if taken_ms is None or self.simulation.time.now <= taken_ms + SILENT_ATTEMPT_MS:
             return
         self.attempts_at_closed += plan.zone(zone).state in CLOSED_STATES
 
     def usable_endpoints(self, dispatcher: int, ready: list[EndpointEntry]) -> frozenset[str]:
         """The ids of the endpoints that a dispatcher uses now."""
-        routers = self.world.routers
+        routers = self.simulation.routers
         ejected: set[str] = set()
         if dispatcher < len(routers):
             ejected = inspection.ejected_endpoints(routers[dispatcher])
-        return self.followers[dispatcher].select(self.world.time.now, ready, ejected)
+        return self.followers[dispatcher].select(self.simulation.time.now, ready, ejected)
 
     def summary(self) -> dict[str, Any]:
         """What was agreed, for the results of the run; times are ms after the first plan."""
@@ -113,24 +113,24 @@
                 }
                 for agreed_ms, plan in self.agreed
             ],
-            "first ms": round(first_ms - self.world.begin, 1) if self.agreed else None,
+            "first ms": round(first_ms - self.simulation.begin, 1) if self.agreed else None,
             "to left": self.attempts_at_closed,
             "escapes": sum([follower.escapes for follower in self.followers]),
         }
 
     def _after(self, wait_ms: float, action: functools.partial[None]) -> None:
-        self.world.time.at(self.world.time.now + wait_ms, action)
+        self.simulation.time.at(self.simulation.time.now + wait_ms, action)
 
     def _check(self, dispatcher: int) -> None:
         """Have one dispatcher look again at what it uses, for ever."""
-        self.world.lists.apply_plan(dispatcher)
+        self.simulation.lists.apply_plan(dispatcher)
         self._after(HEARTBEAT_MS, functools.partial(self._check, dispatcher))
 
     def _report(self, dispatcher: int) -> DispatcherReport:
         follower = self.followers[dispatcher]
         return DispatcherReport(
             name=f"n{dispatcher}",
-            home_zone=self.world.homes[dispatcher],
+            home_zone=self.simulation.homes[dispatcher],
             process_id=1,
             mode=follower.mode,
             plan_version=follower.lease.plan.version,
@@ -142,10 +142,10 @@
 
     def _zone_counters(self, dispatcher: int) -> dict[str, ZoneCounters]:
         """What one dispatcher sees of each zone."""
-        router = self.world.routers[dispatcher]
+        router = self.simulation.routers[dispatcher]
         ejected = inspection.ejected_endpoints(router)
         zones: dict[str, ZoneCounters] = {}
-        for name, entry in self.world.lists.known[dispatcher].items():
+        for name, entry in self.simulation.lists.known[dispatcher].items():
             if entry.state != EndpointState.READY:
                 continue
             slots, warm_slots, in_flight = inspection.endpoint_slots(router, name)
@@ -166,14 +166,14 @@
 
     def _heartbeat(self) -> None:
         """All agents know what all dispatchers report; the first decides. For ever."""
-        now, homes = self.world.time.now, self.world.homes
+        now, homes = self.simulation.time.now, self.simulation.homes
         for number in range(len(self.followers)):
             self.reports.setdefault(homes[number], ReportWindow()).add(now, self._report(number))
         view = build_fleet_view([window.placements(now) for window in self.reports.values()])
         self.planner.observe(view, now)
         plan = self.planner.decide(view, now, now)
         if plan is not None:
-            self._after(self.world.day.agree_ms, functools.partial(self._agree, plan))
+            self._after(self.simulation.scenario.agree_ms, functools.partial(self._agree, plan))
         for number in range(len(self.followers)):
             self._tell(number, self.planner.plan)
         self._after(HEARTBEAT_MS, functools.partial(self._heartbeat))
@@ -182,7 +182,7 @@
         """The agents have agreed on a plan, unless another one came before."""
         if plan.number != self.planner.plan.number + 1:
             return
-        now = self.world.time.now
+        now = self.simulation.time.now
         self.planner.learn(plan, now)
         self.agreed.append(AgreedPlan(now, plan))
         for number in range(len(self.followers)):
@@ -194,5 +194,5 @@
         """A dispatcher is told a plan."""
         follower = self.followers[dispatcher]
         is_newer = plan.version > follower.lease.plan.version
-        if follower.take(PlanLease(plan, self.world.time.now + LEASE_MS)) and is_newer:
-            self.world.lists.apply_plan(dispatcher)
+        if follower.accept(PlanLease(plan, self.simulation.time.now + LEASE_MS)) and is_newer:
+            self.simulation.lists.apply_plan(dispatcher)
--- a/dunepulley/model/results.py
+++ b/dunepulley/model/results.py
@@ -8,9 +8,9 @@
 
 import numpy as np
 
-from dunepulley.model.day import Category, Day
+from dunepulley.model.scenario import RequestClass, Scenario
+from dunepulley.model.server import Job, ModelServer
 from dunepulley.model.simulated_time import ScheduledCall
-from dunepulley.model.worker import Job, Worker
 
 PERCENTILES = (50, 99)
 
@@ -27,7 +27,7 @@
 class SimulatedAttempt:
     """One attempt: its end as the dispatcher heard it, and the job that it became at its worker."""
 
-    worker: Worker
+    server: ModelServer
     sent: float
     ended: bool = False
     cancelled: bool = False
@@ -41,7 +41,7 @@
 
     request_id: str
     came: float
-    category: Category
+    category: RequestClass
     work: float
     due: float
     home: int
@@ -52,11 +52,11 @@
 class Results:
     """Counts what became of requests and attempts."""
 
-    def __init__(self, day: Day) -> None:
+    def __init__(self, scenario: Scenario) -> None:
         self.counts = dict.fromkeys(("in time", "late", "deferred", "written off", "hand-offs", "events"), 0)
         self.crossed_zones = 0
         self.possible_payoff = self.earned_payoff = 0.0
-        self.waits: dict[str, list[float]] = {category.name: [] for category in day.categories}
+        self.waits: dict[str, list[float]] = {category.name: [] for category in scenario.categories}
 
     def record_answer(self, now: float, request: SimulatedRequest, answer: Answer) -> None:
         """Count a final answer."""
@@ -86,8 +86,8 @@
     return [round(float(np.percentile(values, at)), 1) for at in PERCENTILES] if values else []
 
 
-def wasted_part(workers: Iterable[Worker], requests: Iterable[SimulatedRequest]) -> float:
+def wasted_part(workers: Iterable[ModelServer], requests: Iterable[SimulatedRequest]) -> float:
     """The part of the workers' work that no request's answer came of."""
-    done = sum([worker.done_work for worker in workers])
+    done = sum([server.done_work for server in workers])
     useful = sum([request.work for request in requests if request.answer == Answer.FINISHED])
     return max(0.0, 1.0 - useful / done) if done else 0.0
--- a/dunepulley/model/rules.py
+++ b/dunepulley/model/rules.py
@@ -8,12 +8,12 @@
 from collections import Counter, deque
 from typing import Any, NamedTuple, Protocol
 
-from dunepulley.model.day import Category, Day
+from dunepulley.model.scenario import RequestClass, Scenario
 from dunepulley.routing.events import EndpointState
 from dunepulley.routing.settings import Idempotency
 
 
-class Worker(Protocol):
+class ObservedServer(Protocol):
     """What the rules look at of a worker, of the model's or of a record's."""
 
     name: str
@@ -35,7 +35,7 @@
     """A request began to run at a worker, at a moment in ms."""
 
     at: float
-    worker: Worker
+    server: ObservedServer
 
 
 class Arrival(NamedTuple):
@@ -51,8 +51,8 @@
     All moments are in ms of one clock. Requests and dispatchers are known by their ids.
     """
 
-    def __init__(self, day: Day, slack_ms: float = ANSWER_SLACK_MS) -> None:
-        self.day, self.slack_ms = day, slack_ms
+    def __init__(self, scenario: Scenario, slack_ms: float = ANSWER_SLACK_MS) -> None:
+        self.scenario, self.slack_ms = scenario, slack_ms
         self.broken: list[str] = []
         self.counts: Counter[str] = Counter()
         self.deadlines: dict[str, float] = {}
@@ -91,52 +91,54 @@
 
     # ---------------------------------------------------------------- no effect twice
 
-    def attempt_started(self, now: float, request_id: str, category: Category, worker: Worker) -> None:
+    def attempt_started(
+        self, now: float, request_id: str, category: RequestClass, server: ObservedServer
+    ) -> None:
         """A request begins to run somewhere."""
         runs = self.runs.setdefault(request_id, [])
-        runs.append(Run(now, worker))
+        runs.append(Run(now, server))
         if len(runs) == 1 or category.effect == Idempotency.IDEMPOTENT:
             return
         first, where = runs[0]
         if category.effect == Idempotency.NON_IDEMPOTENT:
-            text = f"{request_id}, which is exclusive, ran at {where.name} and {worker.name}"
+            text = f"{request_id}, which is exclusive, ran at {where.name} and {server.name}"
             self.report_violation("twice", text)
         elif now - first > category.window_ms:
             text = f"{request_id} ran again {now - first:.0f} ms later, after its window"
             self.report_violation("twice", text)
-        elif category.group != "all" and getattr(where, category.group) != getattr(worker, category.group):
+        elif category.group != "all" and getattr(where, category.group) != getattr(server, category.group):
             self.report_violation("twice", f"{request_id} ran again in another {category.group}")
 
     # ---------------------------------------------------------------- drains are kept
 
-    def state_told(self, now: float, dispatcher: Any, worker: str, state: str) -> None:
+    def state_told(self, now: float, dispatcher: Any, server: str, state: str) -> None:
         """A dispatcher is told a worker's state."""
         if state == EndpointState.READY:
-            self.notified.pop((dispatcher, worker), None)
+            self.notified.pop((dispatcher, server), None)
         else:
-            self.notified.setdefault((dispatcher, worker), now)
+            self.notified.setdefault((dispatcher, server), now)
 
-    def attempt_sent(self, now: float, dispatcher: Any, worker: str) -> None:
+    def attempt_sent(self, now: float, dispatcher: Any, server: str) -> None:
         """A dispatcher sends an attempt."""
-        notified = self.notified.get((dispatcher, worker))
-        if notified is not None and now > notified + self.day.drain_grace_ms:
-            text = f"{dispatcher} sent to {worker} {now - notified:.0f} ms after it was told"
+        notified = self.notified.get((dispatcher, server))
+        if notified is not None and now > notified + self.scenario.drain_grace_ms:
+            text = f"{dispatcher} sent to {server} {now - notified:.0f} ms after it was told"
             self.report_violation("drains", text)
 
     # ---------------------------------------------------------------- no worker that warms up is overloaded
 
-    def attempt_arrived(self, now: float, worker: Worker, work: float) -> None:
+    def attempt_arrived(self, now: float, server: ObservedServer, work: float) -> None:
         """An attempt arrives at a worker."""
-        cold_ms = self.day.cold_s * 1000.0
-        if worker.since <= 0.0 or now - worker.since >= cold_ms:
+        cold_ms = self.scenario.cold_s * 1000.0
+        if server.since <= 0.0 or now - server.since >= cold_ms:
             return
-        sent = self.sent_warming_up.setdefault(worker.name, deque())
+        sent = self.sent_warming_up.setdefault(server.name, deque())
         sent.append(Arrival(now, work))
-        while sent[0].at < now - self.day.fall_ms:
+        while sent[0].at < now - self.scenario.fall_ms:
             sent.popleft()
         load = sum([arrival.work for arrival in sent])
         # Other programs on its machine are another matter: nobody is told of them.
-        able = worker.speed * worker.factors.get("cold", 1.0) * worker.slots * self.day.fall_ms
-        if load > self.day.fall_multiple * able:
-            self.report_violation("cold", f"{worker.name} was sent {load / able:.1f} times what it can do")
+        able = server.speed * server.factors.get("cold", 1.0) * server.slots * self.scenario.fall_ms
+        if load > self.scenario.fall_multiple * able:
+            self.report_violation("cold", f"{server.name} was sent {load / able:.1f} times what it can do")
             sent.clear()
--- a/dunepulley/model/day.py
+++ b/dunepulley/model/scenario.py
@@ -9,11 +9,11 @@
 from dunepulley.routing.settings import Idempotency
 
 
-class UnusableError(Exception):
+class ScenarioError(Exception):
     """The description cannot be used; the text says why in one line."""
 
 
-class Category(NamedTuple):
+class RequestClass(NamedTuple):
     """One kind of work item; works are drawn with this mean and spread, in ms at a worker of speed 1."""
 
     name: str
@@ -29,7 +29,7 @@
     window_ms: float = 0.0
 
 
-class Trouble(NamedTuple):
+class Disturbance(NamedTuple):
     """What goes wrong, from when to when, at which part of the workers (or of the items), and how badly."""
 
     kind: str
@@ -57,7 +57,7 @@
     size: float = 0.0
 
 
-class Day(NamedTuple):
+class Scenario(NamedTuple):
     """All of a day."""
 
     seconds: float = 30.0
@@ -94,8 +94,8 @@
     probes: bool = False
     notes: bool = False
     hints: bool = True
-    categories: tuple[Category, ...] = (Category("look"),)
-    troubles: tuple[Trouble, ...] = ()
+    categories: tuple[RequestClass, ...] = (RequestClass("look"),)
+    troubles: tuple[Disturbance, ...] = ()
     faults: tuple[Fault, ...] = ()
 
 
@@ -135,48 +135,50 @@
 )
 
 
-def read(path: str) -> Day:
+def read(path: str) -> Scenario:
     """The description in a file."""
     try:
         with Path(path).open("rb") as file:
             return day_of(tomllib.load(file))
     except OSError as problem:
-        raise UnusableError(f"cannot read {path}: {problem.strerror}") from problem
+        raise ScenarioError(f"cannot read {path}: {problem.strerror}") from problem
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise UnusableError(f"{path} is no TOML: {problem}") from problem
+        raise ScenarioError(f"{path} is no TOML: {problem}") from problem
     except ValueError as problem:
-        raise UnusableError(f"{path}: {problem}") from problem
+        raise ScenarioError(f"{path}: {problem}") from problem
 
 
-def day_of(told: dict[str, Any]) -> Day:
+def day_of(told: dict[str, Any]) -> Scenario:
     """A description as a plain map; raises ValueError where it means nothing."""
     told = dict(told)
-    categories = tuple([_made(Category, one, "category") for one in _tables(told, "category")])
-    troubles = tuple([_made(Trouble, one, "trouble") for one in _tables(told, "trouble")])
+    categories = tuple([_made(RequestClass, one, "category") for one in _tables(told, "category")])
+    troubles = tuple([_made(Disturbance, one, "trouble") for one in _tables(told, "trouble")])
     faults = tuple([_made(Fault, one, "fault") for one in _tables(told, "fault")])
-    day = _made(Day, told, "the day")
-    day = day._replace(categories=categories or day.categories, troubles=troubles, faults=faults)
-    _check_sizes(day)
-    _check_categories(day.categories)
-    for trouble in day.troubles:
+    scenario = _made(Scenario, told, "the day")
+    scenario = scenario._replace(
+        categories=categories or scenario.categories, troubles=troubles, faults=faults
+    )
+    _check_sizes(scenario)
+    _check_categories(scenario.categories)
+    for trouble in scenario.troubles:
         _check_trouble(trouble)
-    for fault in day.faults:
+    for fault in scenario.faults:
         _check_fault(fault)
-    return day
+    return scenario
 
 
-def _check_sizes(day: Day) -> None:
+def _check_sizes(scenario: Scenario) -> None:
     for name, most in MOST.items():
-        if getattr(day, name) > most:
-            raise ValueError(f"{name} is {getattr(day, name)}, more than {most:g}")
+        if getattr(scenario, name) > most:
+            raise ValueError(f"{name} is {getattr(scenario, name)}, more than {most:g}")
     for name, least in LEAST.items():
-        if getattr(day, name) < least:
-            raise ValueError(f"{name} is {getattr(day, name)}, less than {least:g}")
-    if day.way not in (ALONE, FIXED, COMMON):
-        raise ValueError(f"way is {day.way!r}, none of {ALONE}, {FIXED}, {COMMON}")
+        if getattr(scenario, name) < least:
+            raise ValueError(f"{name} is {getattr(scenario, name)}, less than {least:g}")
+    if scenario.way not in (ALONE, FIXED, COMMON):
+        raise ValueError(f"way is {scenario.way!r}, none of {ALONE}, {FIXED}, {COMMON}")
 
 
-def _check_categories(categories: tuple[Category, ...]) -> None:
+def _check_categories(categories: tuple[RequestClass, ...]) -> None:
     names = [category.name for category in categories]
     if len(set(names)) < len(names):
         raise ValueError("two categories are of one name")
@@ -187,7 +189,7 @@
             raise ValueError(f"{category.name}: work and due time are over 0, and expiry is later")
 
 
-def _check_trouble(trouble: Trouble) -> None:
+def _check_trouble(trouble: Disturbance) -> None:
     if trouble.kind not in TROUBLES:
         raise ValueError(f"trouble {trouble.kind!r} is none of {', '.join(TROUBLES)}")
     if not 0.0 <= trouble.from_s <= trouble.to_s or not 0.0 <= trouble.part <= 1.0:
@@ -234,44 +236,44 @@
     return kind(**{name: float(value) if fields[name] == "float" else value for name, value in told.items()})
 
 
-def zone_of(day: Day, number: int, count: int) -> str:
+def zone_of(scenario: Scenario, number: int, count: int) -> str:
     """The zone of one of so many workers or dispatchers: in turns, or the first zones the larger ones."""
-    if not day.zone_skew:
-        return f"z{number % day.zones}"
-    sizes = [1.0 + day.zone_skew * (day.zones - 1 - zone) for zone in range(day.zones)]
+    if not scenario.zone_skew:
+        return f"z{number % scenario.zones}"
+    sizes = [1.0 + scenario.zone_skew * (scenario.zones - 1 - zone) for zone in range(scenario.zones)]
     place, whole = (number + 0.5) / count * sum(sizes), 0.0
     for zone, size in enumerate(sizes):
         whole += size
         if place <= whole:
             return f"z{zone}"
-    return f"z{day.zones - 1}"
+    return f"z{scenario.zones - 1}"
 
 
-def settings_of(day: Day, me: int) -> dict[str, Any]:
+def settings_of(scenario: Scenario, me: int) -> dict[str, Any]:
     """What a dispatcher of this day is told, as the module takes it."""
     settings: dict[str, Any] = {
-        "balancers": float(day.dispatchers),
+        "balancers": float(scenario.dispatchers),
         "me": float(me),
-        "zone": zone_of(day, me, day.dispatchers),
+        "zone": zone_of(scenario, me, scenario.dispatchers),
         "weightSource": "nominal",
         "reporting.how": "answers",
         "reporting.fields": ("rate", "queue", "x0"),
-        "familyInfo.tellsStart": day.tells_start,
-        "policyLimits.mostHandOffs": float(day.most_hand_offs),
-        "policyLimits.cancel": day.cancel,
-        "policyLimits.secondCopies": day.second_copies,
-        "policyLimits.probing": day.probes,
-        "policyLimits.peers": day.notes,
+        "familyInfo.tellsStart": scenario.tells_start,
+        "policyLimits.mostHandOffs": float(scenario.most_hand_offs),
+        "policyLimits.cancel": scenario.cancel,
+        "policyLimits.secondCopies": scenario.second_copies,
+        "policyLimits.probing": scenario.probes,
+        "policyLimits.peers": scenario.notes,
         "policyLimits.connIdleMs": 10000.0,
         "policyLimits.connectTimeoutMs": 250.0,
-        "rules.coldFrom": day.cold_from,
-        "rules.coldMs": day.cold_s * 1000.0,
-        "rules.fallMultiple": day.fall_multiple,
-        "rules.tipAfterMs": day.fall_ms,
-        "rules.drainGraceMs": day.drain_grace_ms,
-        "categories.count": float(len(day.categories)),
+        "rules.coldFrom": scenario.cold_from,
+        "rules.coldMs": scenario.cold_s * 1000.0,
+        "rules.fallMultiple": scenario.fall_multiple,
+        "rules.tipAfterMs": scenario.fall_ms,
+        "rules.drainGraceMs": scenario.drain_grace_ms,
+        "categories.count": float(len(scenario.categories)),
     }
-    for number, category in enumerate(day.categories):
+    for number, category in enumerate(scenario.categories):
         settings |= {
             f"categories.{number}.{name}": value
             for name, value in (
--- a/dunepulley/model/worker.py
+++ b/dunepulley/model/server.py
@@ -36,7 +36,7 @@
 
 
 @dataclass(eq=False)
-class Worker:
+class ModelServer:
     """Runs what it has slots for, at its speed; the rest waits in order, and beyond that is rejected.
 
     `most` is how many may wait, and `speed` the work done in a ms by one slot.
@@ -124,7 +124,7 @@
         """Be there, with nothing in hand."""
         self.up, self.since = True, self.timeline.now
 
-    def warm(self, cold_from: float, cold_ms: float) -> None:
+    def warm_up(self, cold_from: float, cold_ms: float) -> None:
         """Begin with a part of the speed, and have all of it so many ms after the start."""
         since = self.since
 
--- a/dunepulley/model/world.py
+++ b/dunepulley/model/simulation.py
@@ -9,16 +9,16 @@
 import numpy as np
 
 from dunepulley.model.attempts import Attempts
-from dunepulley.model.day import COMMON, Category, Day, settings_of, zone_of
 from dunepulley.model.endpoint_lists import EndpointLists
 from dunepulley.model.plans import SimulatedAgents
 from dunepulley.model.reported_load import ReportedLoad
 from dunepulley.model.results import Answer, Results, SimulatedRequest, wasted_part
 from dunepulley.model.rules import Rules
+from dunepulley.model.scenario import COMMON, RequestClass, Scenario, settings_of, zone_of
+from dunepulley.model.server import ModelServer
 from dunepulley.model.simulated_time import ScheduledCall, SimulatedTime
 from dunepulley.model.traffic import PlannedRequest, plan_requests, spread_out
 from dunepulley.model.troubles import TroubleSchedule, WorkerChange
-from dunepulley.model.worker import Worker
 from dunepulley.routing.commands import (
     CancelAttempt,
     CheckHealth,
@@ -45,66 +45,68 @@
 SEEDS_PER_DAY = 1009
 
 
-def make_workers(day: Day, time: SimulatedTime, draw: np.random.Generator) -> dict[str, Worker]:
+def make_workers(
+    scenario: Scenario, time: SimulatedTime, draw: np.random.Generator
+) -> dict[str, ModelServer]:
     """The workers of a day by name, each of a kind that has a speed of its own."""
-    kind_speeds = spread_out(draw.normal(0.0, 1.0, day.kinds), day.kind_cv)
-    speeds = spread_out(draw.normal(0.0, 1.0, day.workers), day.speed_cv)
+    kind_speeds = spread_out(draw.normal(0.0, 1.0, scenario.kinds), scenario.kind_cv)
+    speeds = spread_out(draw.normal(0.0, 1.0, scenario.workers), scenario.speed_cv)
     workers = {}
-    for number in range(day.workers):
-        kind = number % day.kinds
-        workers[f"w{number}"] = Worker(
+    for number in range(scenario.workers):
+        kind = number % scenario.kinds
+        workers[f"w{number}"] = ModelServer(
             timeline=time,
             name=f"w{number}",
-            zone=zone_of(day, number, day.workers),
+            zone=zone_of(scenario, number, scenario.workers),
             kind=f"k{kind}",
-            cell=str(number % day.cells),
-            slots=day.slots,
-            most=day.queue,
+            cell=str(number % scenario.cells),
+            slots=scenario.slots,
+            most=scenario.queue,
             speed=float(speeds[number] * kind_speeds[kind]),
         )
     return workers
 
 
-class World:
+class Simulation:
     """One day with one seed."""
 
     def __init__(
         self,
-        day: Day,
+        scenario: Scenario,
         seed: int,
         build: Callable[[int, dict[str, Any], float], Router] = Router,
         settings: dict[str, Any] | None = None,
     ) -> None:
-        self.day = day
+        self.scenario = scenario
         self.time = SimulatedTime()
         self.begin = self.time.now
-        self.rules = Rules(day)
-        self.results = Results(day)
+        self.rules = Rules(scenario)
+        self.results = Results(scenario)
         children = np.random.SeedSequence(seed).spawn(len(STREAMS))
         streams = [np.random.default_rng(child) for child in children]
         self.draw = dict(zip(STREAMS, streams, strict=True))
-        self.workers = make_workers(day, self.time, self.draw["speeds"])
+        self.workers = make_workers(scenario, self.time, self.draw["speeds"])
         self.silent: set[str] = set()
-        self.reports = ReportedLoad(day, self.draw["reports"])
-        self.troubles = TroubleSchedule(day, self.time, self.workers, self.draw["troubles"])
+        self.reports = ReportedLoad(scenario, self.draw["reports"])
+        self.troubles = TroubleSchedule(scenario, self.time, self.workers, self.draw["troubles"])
         self.planned: list[PlannedRequest] = []
         self.requests: dict[str, SimulatedRequest] = {}
-        self.homes = [zone_of(day, me, day.dispatchers) for me in range(day.dispatchers)]
+        self.homes = [zone_of(scenario, me, scenario.dispatchers) for me in range(scenario.dispatchers)]
         self.routers: list[Router] = []
-        self.timers: list[ScheduledCall | None] = [None] * day.dispatchers
+        self.timers: list[ScheduledCall | None] = [None] * scenario.dispatchers
         self.attempts = Attempts(self)
         self.lists = EndpointLists(self)
-        self.plans = SimulatedAgents(self) if day.way == COMMON else None
-        for me in range(day.dispatchers):
-            merged = settings_of(day, me) | (settings or {})
+        self.plans = SimulatedAgents(self) if scenario.way == COMMON else None
+        for me in range(scenario.dispatchers):
+            merged = settings_of(scenario, me) | (settings or {})
             self.routers.append(build(int(seed) * SEEDS_PER_DAY + me, merged, self.time.now))
         self._begin()
 
     def _begin(self) -> None:
         """Tell the first list, and schedule the day's traffic, troubles and plans."""
         self.lists.tell_all()
-        work_per_ms = sum([worker.speed for worker in self.workers.values()]) * self.day.slots
-        self.planned = plan_requests(self.day, self.draw, work_per_ms)
+        work_per_ms = sum([server.speed for server in self.workers.values()]) * self.scenario.slots
+        self.planned = plan_requests(self.scenario, self.draw, work_per_ms)
         for request in self.planned:
             arrive = functools.partial(self._arrive, *request)
             self.time.at(self.begin + request.at, arrive)
@@ -114,14 +116,14 @@
 
     # ---------------------------------------------------------------- dispatchers
 
-    def _arrive(self, request_id: str, at: float, category: Category, work: float, home: int) -> None:
+    def _arrive(self, request_id: str, at: float, category: RequestClass, work: float, home: int) -> None:
         """A request comes to its dispatcher."""
         now = self.time.now
         due = min(now + category.due_ms + category.stretch * work, now + category.expiry_ms)
         self.requests[request_id] = SimulatedRequest(request_id, now, category, work, due, home)
         self.results.possible_payoff += category.payoff
         self.rules.request_accepted(now, request_id, category.expiry_ms)
-        expected_ms = work if self.day.hints else 0.0
+        expected_ms = work if self.scenario.hints else 0.0
         if self.plans is not None:
             self.plans.work_slot_ms[home] += work
         event = RequestArrived(request_id, category.name, category.expiry_ms, expected_ms=expected_ms)
@@ -153,17 +155,17 @@
         self.timers[me] = self._after(command.delay_ms, lambda: self.handle(me, event))
 
     def _check_health(self, me: int, command: CheckHealth) -> None:
-        worker = self.workers[command.endpoint_id]
-        delay = self.attempts.delay_ms(me, worker) + self.attempts.delay_ms(me, worker)
-        report = self.report(worker) if worker.up else None
-        result = AttemptResult.COMPLETED if worker.up else AttemptResult.CONNECT_FAILED
-        self._handle_after(delay, me, HealthCheckEnded(worker.name, result, delay, report))
+        server = self.workers[command.endpoint_id]
+        delay = self.attempts.delay_ms(me, server) + self.attempts.delay_ms(me, server)
+        report = self.report(server) if server.up else None
+        result = AttemptResult.COMPLETED if server.up else AttemptResult.CONNECT_FAILED
+        self._handle_after(delay, me, HealthCheckEnded(server.name, result, delay, report))
 
     def _send_gossip(self, me: int, command: SendGossip) -> None:
         event = GossipReceived(me, command.is_aggregate, command.slots_held)
-        for to in range(self.day.dispatchers) if command.recipient < 0 else (command.recipient,):
+        for to in range(self.scenario.dispatchers) if command.recipient < 0 else (command.recipient,):
             if to != me:
-                self._handle_after(self.day.cross_ms, to, event)
+                self._handle_after(self.scenario.cross_ms, to, event)
 
     def _ignore(self, me: int, command: WriteLog) -> None:
         pass
@@ -185,9 +187,9 @@
         request.answer = answer
         self.results.record_answer(self.time.now, request, answer)
 
-    def report(self, worker: Worker) -> dict[str, float]:
+    def report(self, server: ModelServer) -> dict[str, float]:
         """What a worker's answer of now reports."""
-        return self.reports.current(self.time.now, worker, self.troubles.reports_late_ms)
+        return self.reports.current(self.time.now, server, self.troubles.reports_late_ms)
 
     # ---------------------------------------------------------------- what becomes of workers
 
@@ -209,11 +211,11 @@
 
     def _return(self, name: str) -> None:
         """A worker starts again, cold."""
-        worker = self.workers[name]
-        worker.start()
+        server = self.workers[name]
+        server.start()
         self.reports.forget(name)
         self.lists.change_state(name, EndpointState.READY)
-        worker.warm(self.day.cold_from, self.day.cold_s * 1000.0)
+        server.warm_up(self.scenario.cold_from, self.scenario.cold_s * 1000.0)
 
     WORKER_CHANGES = {
         WorkerChange.FALLS_SILENT: _silence,
@@ -227,8 +229,8 @@
 
     def run(self) -> dict[str, Any]:
         """Play the day; what came of it."""
-        longest = max([category.expiry_ms for category in self.day.categories])
-        self.time.run(self.begin + self.day.seconds * 1000.0 + longest + 1000.0)
+        longest = max([category.expiry_ms for category in self.scenario.categories])
+        self.time.run(self.begin + self.scenario.seconds * 1000.0 + longest + 1000.0)
         self.rules.finish(self.time.now)
         return {
             "payoff": self.results.payoff(),
--- a/dunepulley/model/traffic.py
+++ b/dunepulley/model/traffic.py
@@ -6,7 +6,7 @@
 
 import numpy as np
 
-from dunepulley.model.day import Category, Day
+from dunepulley.model.scenario import RequestClass, Scenario
 
 
 class PlannedRequest(NamedTuple):
@@ -18,7 +18,7 @@
 
     request_id: str
     at: float
-    category: Category
+    category: RequestClass
     work: float
     home: int
 
@@ -29,35 +29,37 @@
     return np.exp(normals * spread - 0.5 * spread**2)
 
 
-def plan_requests(day: Day, draw: dict[str, np.random.Generator], work_per_ms: float) -> list[PlannedRequest]:
+def plan_requests(
+    scenario: Scenario, draw: dict[str, np.random.Generator], work_per_ms: float
+) -> list[PlannedRequest]:
     """Draw every request of a day, in order of arrival.
 
     `draw` holds the streams `arrivals`, `works` and `heavy`; `work_per_ms` is what all workers can do.
     """
-    shares = np.array([category.share for category in day.categories])
+    shares = np.array([category.share for category in scenario.categories])
     shares = shares / shares.sum()
-    mean_work = float(sum(shares * np.array([category.work_ms for category in day.categories])))
-    rate = 1000.0 * day.load * work_per_ms / mean_work
+    mean_work = float(sum(shares * np.array([category.work_ms for category in scenario.categories])))
+    rate = 1000.0 * scenario.load * work_per_ms / mean_work
     arrivals = draw["arrivals"]
-    count = int(arrivals.poisson(rate * day.seconds))
-    moments = np.sort(arrivals.uniform(0.0, day.seconds * 1000.0, count))
-    homes = arrivals.integers(0, day.dispatchers, count)
+    count = int(arrivals.poisson(rate * scenario.seconds))
+    moments = np.sort(arrivals.uniform(0.0, scenario.seconds * 1000.0, count))
+    homes = arrivals.integers(0, scenario.dispatchers, count)
     kinds = arrivals.choice(len(shares), count, p=shares)
     normals = draw["works"].normal(0.0, 1.0, count)
     heavy_draws = draw["heavy"].uniform(0.0, 1.0, count)
     planned = []
     for number in range(count):
         kind, at = int(kinds[number]), float(moments[number])
-        category = day.categories[kind]
+        category = scenario.categories[kind]
         work = category.work_ms * float(spread_out(normals[number], category.work_cv))
-        work *= _heaviness(day, kind, at, heavy_draws[number])
+        work *= _heaviness(scenario, kind, at, heavy_draws[number])
         planned.append(PlannedRequest(f"i{number}", at, category, max(0.1, work), int(homes[number])))
     return planned
 
 
-def _heaviness(day: Day, kind: int, at: float, drawn: float) -> float:
+def _heaviness(scenario: Scenario, kind: int, at: float, drawn: float) -> float:
     """By how much more a request works, as some of the first category do while that is in trouble."""
-    for trouble in day.troubles:
+    for trouble in scenario.troubles:
         is_now = trouble.from_s * 1000.0 <= at < trouble.to_s * 1000.0
         if trouble.kind == "heavy" and kind == 0 and is_now and drawn < trouble.part:
             return trouble.size
--- a/dunepulley/net/admin.py
+++ b/dunepulley/net/admin.py
@@ -111,7 +111,7 @@
         self.connections: dict[AdminConnection, None] = {}
         self.waiting: dict[AdminConnection, None] = {}
         self.listener = Listener(
-            LogEvent.CONSOLE, lambda unseen_since: AdminConnection(self), self.close_oldest, counters
+            LogEvent.CONSOLE, lambda queued_since_s: AdminConnection(self), self.close_oldest, counters
         )
 
     async def carry_out(self, name: str, argument: str) -> Reply:
--- a/dunepulley/net/admin_commands.py
+++ b/dunepulley/net/admin_commands.py
@@ -39,7 +39,7 @@
     ) -> None:
         self.config = config
         self.core = core
-        self.clients = clients
+        self.frontend = clients
         self.counters = counters
 
     def plain(self) -> dict[str, Command]:
@@ -62,27 +62,27 @@
 
     async def health(self) -> Reply:
         """HEALTH: whether clients are to be sent here, and if not, why."""
-        if self.clients.can_take():
+        if self.frontend.accepts_clients():
             return Reply(True, "ready")
-        return Reply(False, self.clients.leaving or "no worker is known that takes work")
+        return Reply(False, self.frontend.drain_state or "no worker is known that takes work")
 
     async def dump(self) -> Reply:
         """DUMP: all metrics, one a line."""
         endpoints, avoided = await self.core.ask(EndpointCountRequested)
         lines = metrics.dump_lines(
-            self.counters, self.clients.ticketed, len(self.clients.waiting), endpoints, avoided
+            self.counters, self.frontend.requires_key, len(self.frontend.waiting), endpoints, avoided
         )
         return Reply(True, "\n".join(["figures", *lines, END_OF_LINES]))
 
     async def leave(self) -> Reply:
         """LEAVE: drain this dispatcher."""
-        self.clients.leave(DRAINED, shutdown.LATE_CONNECTIONS_S)
-        return Reply(True, self.clients.leaving)
+        self.frontend.leave(DRAINED, shutdown.LATE_CONNECTIONS_S)
+        return Reply(True, self.frontend.drain_state)
 
     async def join(self) -> Reply:
         """JOIN: take clients again after LEAVE."""
-        joined = self.clients.join()
-        return Reply(joined, "joined" if joined else self.clients.leaving)
+        joined = self.frontend.join()
+        return Reply(joined, "joined" if joined else self.frontend.drain_state)
 
     async def who(self) -> Reply:
         """WHO: the process, and whether it drains."""
@@ -93,7 +93,7 @@
                     "name": self.config.name,
                     "pid": os.getpid(),
                     "version": VERSION,
-                    "leaving": self.clients.leaving,
+                    "leaving": self.frontend.drain_state,
                     "drains": self.core.endpoints.drains.version,
                 }
             ),
--- a/dunepulley/net/config.py
+++ b/dunepulley/net/config.py
@@ -51,13 +51,15 @@
     listen: Address
     discovery: str
     seed: int
-    sockets: int  # the most descriptors that it may have open
-    known: EndpointList  # the endpoint list to begin with, until discovery tells another
+    max_descriptors: int  # the most descriptors that it may have open
+    initial_list: EndpointList  # the endpoint list to begin with, until discovery tells another
     settings: dict[str, object]
     path: str = ""  # of the file that this was read from
     peers: tuple[Address, ...] = ()  # the dispatchers that exchange gossip, by number
-    by_key: bool = False  # whether the last segment of a request's path is its cache affinity key
-    console: Address | None = None  # of the admin interface; none without it
+    affinity_key_in_path: bool = (
+        False  # whether the last segment of a request's path is its cache affinity key
+    )
+    admin_address: Address | None = None  # of the admin interface; none without it
     memory_mb: float = DEFAULT_MEMORY_MB
     trace: TraceConfig | None = None
     drains: DrainSet = DrainSet()  # ends are moments of `clock`
@@ -71,10 +73,10 @@
         names = [str(name) for name in class_settings(self.settings, "name")]
         return (
             f"{self.name} listens at {self.listen[0]}:{self.listen[1]}, discovery at {self.discovery}\n"
-            f"{len(self.known.update.entries)} workers known at version {self.known.revision}\n"
+            f"{len(self.initial_list.update.entries)} workers known at version {self.initial_list.revision}\n"
             f"categories: {', '.join(names)}\n"
-            f"at most {self.sockets} descriptors\n"
-            + ("no console" if self.console is None else "console at {}:{}".format(*self.console))
+            f"at most {self.max_descriptors} descriptors\n"
+            + ("no console" if self.admin_address is None else "console at {}:{}".format(*self.admin_address))
         )
 
 
@@ -128,22 +130,22 @@
     listen = environment.get(LISTEN_VARIABLE) or document["listen"]
     discovery = environment.get(DISCOVERY_VARIABLE) or document["discovery"]
     parse_address(discovery)
-    console = environment.get(CONSOLE_VARIABLE) or document.get("console")
+    admin_address = environment.get(CONSOLE_VARIABLE) or document.get("console")
     settings = flatten_settings(document["settings"])
     peers = _parse_peers(document.get("peers"), settings)
     return DispatcherConfig(
         name=environment.get(NAME_VARIABLE) or str(document.get("name", "")),
-        by_key=_parse_flag(document, "by_key"),
+        affinity_key_in_path=_parse_flag(document, "by_key"),
         plan=_parse_plan(document, settings),
         listen=parse_address(listen),
         discovery=discovery,
         seed=int(str(document.get("seed", "0")), 16),
-        sockets=int(limits.get("sockets", DEFAULT_SOCKETS)),
-        known=_parse_known(document.get("known")),
+        max_descriptors=int(limits.get("sockets", DEFAULT_SOCKETS)),
+        initial_list=_parse_known(document.get("known")),
         settings=settings,
         path=path,
         peers=peers,
-        console=parse_address(console) if console else None,
+        admin_address=parse_address(admin_address) if admin_address else None,
         memory_mb=float(limits.get("memory_mb", DEFAULT_MEMORY_MB)),
         trace=parse_trace(document.get("trace")),
         drains=read_drains(document.get("drains"), clock),
--- a/dunepulley/net/core.py
+++ b/dunepulley/net/core.py
@@ -97,7 +97,7 @@
         self.events: list[Event] = []
         # What goes through the router is written here, where `serve --events` asks for it.
         self.event_log: EventLog | None = None
-        self.dispatcher = Router(seed, settings, self.now)
+        self.router = Router(seed, settings, self.now)
         self.requests = RequestTable()
         self.endpoints = EndpointView(self.clock, self._add_event)
         self.statistics = ZoneStatistics()
@@ -184,10 +184,10 @@
         feed = EventFeed(events)
         while True:
             try:
-                commands = self.dispatcher.handle(self.now, feed)
+                commands = self.router.handle(self.now, feed)
             except Exception:
                 # A fault must neither end this task nor leave the rest of the batch unread.
-                commands = self.dispatcher.commands
+                commands = self.router.commands
                 self._recover(feed.current)
             if self.event_log is not None:
                 self.event_log.write_batch(self.now, commands)
@@ -223,7 +223,7 @@
         self.requests.add(request)
         arrived = request.arrived
         if self.endpoints.follower is not None:
-            self.statistics.expected_work_ms += inspection.expected_work(self.dispatcher, arrived)
+            self.statistics.expected_work_ms += inspection.expected_work(self.router, arrived)
         # Its timeout has run since it was received, however long it waited in the queue.
         timeout_ms = max(MIN_TIMEOUT_MS, arrived.timeout_ms - (self.now - request.received_ms))
         self.events.append(arrived._replace(timeout_ms=timeout_ms))
@@ -272,7 +272,7 @@
     # ---------------------------------------------------------------- endpoints
 
     def _on_list(self, message: EndpointList) -> None:
-        self.endpoints.update_list(message, self.now, self.dispatcher, self._may_send_changes())
+        self.endpoints.update_list(message, self.now, self.router, self._may_send_changes())
         if self.endpoints.follower is not None:
             self._schedule_refresh()
 
@@ -299,7 +299,7 @@
         self._refresh_endpoints()
 
     def _refresh_endpoints(self) -> None:
-        self.endpoints.refresh(self.now, self.dispatcher)
+        self.endpoints.refresh(self.now, self.router)
         self._schedule_refresh()
 
     def _schedule_refresh(self) -> None:
@@ -308,22 +308,22 @@
     # ---------------------------------------------------------------- questions
 
     def _on_endpoint_count_requested(self, message: EndpointCountRequested) -> None:
-        resolve(message.answer, inspection.count_endpoints(self.dispatcher))
+        resolve(message.answer, inspection.count_endpoints(self.router))
 
     def _on_endpoints_requested(self, message: EndpointsRequested) -> None:
         if not message.answer.done():
-            message.answer.set_result(self.endpoints.describe(self.now, self.dispatcher))
+            message.answer.set_result(self.endpoints.describe(self.now, self.router))
 
     def _on_zone_report_requested(self, message: ZoneReportRequested) -> None:
         if not message.answer.done():
-            message.answer.set_result(self.statistics.report(self.endpoints, self.dispatcher, self.now))
+            message.answer.set_result(self.statistics.report(self.endpoints, self.router, self.now))
 
     def _on_warm_state_requested(self, message: WarmStateRequested) -> None:
         if not message.answer.done():
-            message.answer.set_result(warm_state.export_state(self.dispatcher))
+            message.answer.set_result(warm_state.export_state(self.router))
 
     def _on_warm_state(self, message: WarmStateReceived) -> None:
-        warm_state.import_state(self.dispatcher, message.state)
+        warm_state.import_state(self.router, message.state)
 
 
 def resolve(answer: asyncio.Future[Any], value: object) -> None:
--- a/dunepulley/net/discovery.py
+++ b/dunepulley/net/discovery.py
@@ -19,7 +19,7 @@
 from dunepulley.net.json_lines import JsonLines, LineKind
 from dunepulley.net.list_polling import PollBackoff, WatchEnd
 from dunepulley.net.log_events import LogEvent
-from dunepulley.net.system_errors import is_of_this_host
+from dunepulley.net.system_errors import is_local_error
 
 # After a call that failed on this host: it has cost discovery nothing, and puts nothing off.
 LOCAL_FAULT_RETRY_S = 0.1
@@ -101,7 +101,7 @@
         return WatchEnd.CUT
 
     def _call_failed(self, error: Exception, called_at: float) -> WatchEnd | None:
-        if not self.responded and is_of_this_host(error):
+        if not self.responded and is_local_error(error):
             self.counters["discovery calls failed here"] += 1
             log.write(LogEvent.DISCOVERY, f"no call could be made: {error}")
             return None
--- a/dunepulley/net/discovery_watch.py
+++ b/dunepulley/net/discovery_watch.py
@@ -32,7 +32,7 @@
         self.on_ended = on_ended
         self.task: asyncio.Task | None = None
         self._configured_address = config.discovery
-        self._configured_revision = config.known.revision
+        self._configured_revision = config.initial_list.revision
         self._seed = config.seed
         self._dispatchers = float(config.settings.get("balancers", 1.0))
         self._pushed = config.settings.get("discovery") == "pushed"
--- a/dunepulley/net/endpoint_view.py
+++ b/dunepulley/net/endpoint_view.py
@@ -141,7 +141,7 @@
 
     def take_plan(self, held: PlanLease) -> bool:
         """Go by a traffic plan; False if it is older than the one in hand, or this dispatcher takes none."""
-        return self.follower is not None and self.follower.take(held)
+        return self.follower is not None and self.follower.accept(held)
 
     def refresh(self, now: float, router: Router) -> None:
         """Publish the endpoints whose state is another by the drains and the plan that are in force now."""
@@ -159,7 +159,7 @@
     def next_refresh_ms(self, now: float) -> float:
         """In how many ms the usable endpoints may change by themselves; infinite if they cannot."""
         wait_ms = self.drains.next_expiry_ms(now) - now
-        if self.follower is not None and self.follower.holds(now):
+        if self.follower is not None and self.follower.has_valid_plan(now):
             # Ejections are not announced: they are found by looking.
             wait_ms = min(wait_ms, PLAN_CHECK_MS)
         return wait_ms
--- a/dunepulley/net/frontend/connection.py
+++ b/dunepulley/net/frontend/connection.py
@@ -9,7 +9,7 @@
 from aiohttp.web_protocol import RequestHandler
 
 from dunepulley.net.callbacks import MalformedError
-from dunepulley.net.frontend.framing import BODY_LIMIT, RequestBuffer
+from dunepulley.net.frontend.framing import MAX_BODY_BYTES, RequestBuffer
 from dunepulley.net.tcp_info import last_data_age_ms
 
 if TYPE_CHECKING:
@@ -17,17 +17,17 @@
 
 # From the connection's begin, or from the request's first byte: who waits for an answer is owed one within
 # 3 s of connecting. A request that is not whole by then has paused for less than a second, or is not coming.
-WHOLE_S = 2.0
-PAUSE_S = 1.0
+REQUEST_TIMEOUT_S = 2.0
+MAX_PAUSE_S = 1.0
 # A connection that waits for its next request is closed after this.
-KEPT_S = 75.0
+KEEP_ALIVE_TIMEOUT_S = 75.0
 # Nobody needs longer to send 64 KB.
-SLOW_S = 10.0
+MAX_REQUEST_S = 10.0
 # How long an answer may take to be read by someone who is still sending.
-READ_IT_S = 0.25
+LINGER_S = 0.25
 # What the system tells of a socket whose other end is closed, half-closed or reset.
-CLOSED = select.POLLRDHUP | select.POLLHUP | select.POLLERR
-CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
+CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
+CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class Connection(asyncio.Protocol):
@@ -78,7 +78,7 @@
     def _start_request(self) -> None:
         self.is_idle = False
         self.started_s = self.table.loop.time()
-        self.timer = self.table.loop.call_later(WHOLE_S, self._deadline_passed)
+        self.timer = self.table.loop.call_later(REQUEST_TIMEOUT_S, self._deadline_passed)
 
     def connection_lost(self, exc: BaseException | None) -> None:
         self._stop_timer()
@@ -106,19 +106,19 @@
             self._start_request()
         self.buffer.add(data)
         try:
-            whole = self.buffer.is_whole(len(data))
+            whole = self.buffer.is_complete(len(data))
         except MalformedError as problem:
-            self.refuse(*problem.args)
+            self.reject(*problem.args)
             return
         if self.buffer.awaits_continue():
-            self.transport.write(CONTINUE)
+            self.transport.write(CONTINUE_RESPONSE)
         if whole:
             self._hand_to_parser()
         else:
             self.table.mark_partial(self)
 
     def _hand_to_parser(self) -> None:
-        raw, excess = self.buffer.take()
+        raw, excess = self.buffer.take_request()
         self.buffer = RequestBuffer()
         self.is_busy = True
         self._stop_timer()
@@ -137,14 +137,14 @@
         seen; behind more than any request has nothing is read, and the system is asked for a close.
         """
         self.excess_bytes += size
-        if self.excess_bytes > BODY_LIMIT:
+        if self.excess_bytes > MAX_BODY_BYTES:
             self.transport.pause_reading()
             self._watch_unread()
 
     def _watch_unread(self) -> None:
         self.timer = None
         if not self.client_closed():
-            self.timer = self.table.loop.call_later(PAUSE_S, self._watch_unread)
+            self.timer = self.table.loop.call_later(MAX_PAUSE_S, self._watch_unread)
 
     def client_closed(self) -> bool:
         """Whether the client has closed, by the system's word; this side is then closed, too.
@@ -155,13 +155,13 @@
         if self.transport.is_closing():
             return True
         poll = select.poll()
-        poll.register(self.transport.get_extra_info("socket").fileno(), CLOSED)
-        if not any([events & CLOSED for _, events in poll.poll(0)]):
+        poll.register(self.transport.get_extra_info("socket").fileno(), CLOSED_EVENTS)
+        if not any([events & CLOSED_EVENTS for _, events in poll.poll(0)]):
             return False
         self.transport.close()
         return True
 
-    def waited_ms(self) -> float:
+    def take_unread_ms(self) -> float:
         """How long the first request of this connection may have waited unread; asked once."""
         since_s, self.unread_since_s = self.unread_since_s, 0.0
         if not since_s:
@@ -176,14 +176,17 @@
         if self.transport.is_closing():
             return
         if self.excess_bytes:
-            self.refuse(400, "more came than one request")
+            self.reject(400, "more came than one request")
         else:
             self.table.mark_idle(self)
             # Not the library's timer: it sees no half of a request, and would close the connection under one.
             self._stop_timer()
-            self.timer, self.is_idle = self.table.loop.call_later(KEPT_S, self._deadline_passed), True
+            self.timer, self.is_idle = (
+                self.table.loop.call_later(KEEP_ALIVE_TIMEOUT_S, self._deadline_passed),
+                True,
+            )
 
-    def refuse(self, status: int, reason: str) -> None:
+    def reject(self, status: int, reason: str) -> None:
         """Reject what came, and whatever else comes over this connection."""
         self.table.count_rejection(status, reason)
         text = f"HTTP/1.1 {status} {reason}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
@@ -198,16 +201,16 @@
             self.transport.abort()
             return
         self.transport.pause_reading()
-        self.timer = self.table.loop.call_later(READ_IT_S, self.transport.abort)
+        self.timer = self.table.loop.call_later(LINGER_S, self.transport.abort)
 
     def _deadline_passed(self) -> None:
         self.timer = None
         now = self.table.loop.time()
-        still = self.table.partial.get(self, 0.0) + PAUSE_S - now
-        if self.buffer.received and still > 0.0 and now < self.started_s + SLOW_S:
+        still = self.table.partial.get(self, 0.0) + MAX_PAUSE_S - now
+        if self.buffer.received and still > 0.0 and now < self.started_s + MAX_REQUEST_S:
             self.timer = self.table.loop.call_later(still, self._deadline_passed)
         elif self.buffer.received:
-            self.refuse(408, "the request did not come")
+            self.reject(408, "the request did not come")
         else:
             self.table.counters["silent connections closed"] += 1
             self.transport.close()
--- a/dunepulley/net/frontend/connection_table.py
+++ b/dunepulley/net/frontend/connection_table.py
@@ -13,9 +13,9 @@
 from dunepulley.net.log_events import LogEvent
 
 # Only a connection idle for longer may be closed for room: a request may be on its way over a newer one.
-IDLE_S = 1.0
+MIN_IDLE_S = 1.0
 # Who writes slowly pauses, but not for so long.
-HALF_S = 0.5
+MIN_PARTIAL_PAUSE_S = 0.5
 
 
 class ConnectionTable(web.Server):
@@ -41,7 +41,7 @@
 
     def add(self, connection: Connection) -> None:
         """A connection is there; over the limit another one is closed for it, or it is closed itself."""
-        if len(self.accepted) >= self.limit and not self.make_room():
+        if len(self.accepted) >= self.limit and not self.evict_connection():
             self.counters["connections without room"] += 1
             connection.transport.abort()
         self.accepted.add(connection)
@@ -77,7 +77,7 @@
         self.accepted.discard(connection)
         self.mark_busy(connection)
 
-    def make_room(self) -> bool:
+    def evict_connection(self) -> bool:
         """Close the new one that is silent the longest, else an incomplete one, else the longest idle one.
 
         Clients send with connecting, and what has come is read before the next connection is accepted: the
@@ -85,7 +85,12 @@
         that have sent a part, the one that has paused the longest is the least likely to send the rest.
         """
         now = self.loop.time()
-        order = (self.new, 0.0), (self.partial, HALF_S), (self.idle, IDLE_S), (self.partial, 0.0)
+        order = (
+            (self.new, 0.0),
+            (self.partial, MIN_PARTIAL_PAUSE_S),
+            (self.idle, MIN_IDLE_S),
+            (self.partial, 0.0),
+        )
         for some, least in order:
             since = next(iter(some.values()), None)
             if since is not None and now - since >= least:
@@ -99,7 +104,7 @@
         self.remove(connection)
         connection.transport.abort()
 
-    def owes_responses(self) -> bool:
+    def has_unsent_responses(self) -> bool:
         """Whether a request is here, also in part, that has no whole answer, or an answer is not out yet."""
         return any(
             [
@@ -108,23 +113,23 @@
             ]
         )
 
-    def share(self, part: float) -> None:
+    def set_connection_fraction(self, part: float) -> None:
         """Hold this part of the connections allowed: another process of this dispatcher holds the rest."""
         self.limit = int(self.full_limit * part)
-        while len(self.accepted) > self.limit and self.make_room():
+        while len(self.accepted) > self.limit and self.evict_connection():
             pass
 
-    def close_idle(self, all_of: bool = False) -> None:
+    def close_idle(self, close_all: bool = False) -> None:
         """Close all that wait for a next request; a client whose request crosses this sends it again.
 
         Not those of which a part of a request has come: it would be lost once the rest is written. Where all
         have to go, these are told so.
         """
         for connection in [*self.new, *self.idle]:
-            if all_of or not connection.is_endpoint:
+            if close_all or not connection.is_endpoint:
                 connection.transport.close()
-        for connection in list(self.partial) if all_of else ():
+        for connection in list(self.partial) if close_all else ():
             if connection.buffer.received:
-                connection.refuse(503, "ending")
+                connection.reject(503, "ending")
             else:  # it has been refused before
                 connection.transport.close()
--- a/dunepulley/net/frontend/framing.py
+++ b/dunepulley/net/frontend/framing.py
@@ -10,9 +10,9 @@
 
 from dunepulley.net.callbacks import MalformedError
 
-BODY_LIMIT = 65536
+MAX_BODY_BYTES = 65536
 # A usual head has a few hundred bytes; one without end must not fill the memory.
-HEAD_LIMIT = 16384
+MAX_HEAD_BYTES = 16384
 # What stands in a head between its first line and the empty line at its end.
 _CONTENT_LENGTH = re.compile(rb"\r\ncontent-length[ \t]*:[ \t]*([^\r]*?)[ \t]*(?=\r\n)", re.I)
 _TRANSFER_ENCODING = re.compile(rb"\r\ntransfer-encoding[ \t]*:[ \t]*([^\r]*?)[ \t]*(?=\r\n)", re.I)
@@ -44,7 +44,7 @@
         return 0
     if len(lengths) > 1 or not lengths[0].isdigit():
         raise MalformedError(400, "Content-Length is doubled or no whole number")
-    if len(lengths[0]) > _MOST_LENGTH_DIGITS or int(lengths[0]) > BODY_LIMIT:
+    if len(lengths[0]) > _MOST_LENGTH_DIGITS or int(lengths[0]) > MAX_BODY_BYTES:
         raise MalformedError(413, "the body is too large")
     return int(lengths[0])
 
@@ -83,7 +83,7 @@
         if size == 0:
             self._position, self._has_last_chunk = head.end(), True
             return True
-        if len(self.body) + size > BODY_LIMIT:
+        if len(self.body) + size > MAX_BODY_BYTES:
             raise MalformedError(413, "the body is too large")
         end = head.end() + size + len(b"\r\n")
         if len(received) < end:
@@ -123,13 +123,13 @@
             while self.received.startswith(b"\r\n"):
                 del self.received[:2]
 
-    def is_whole(self, added: int) -> bool:
+    def is_complete(self, added: int) -> bool:
         """Whether the request is there, after so many bytes were added."""
         if not self._head_length and not self._read_head(added):
             return False
         if self._chunks is not None and not self._length:
             self._length = self._chunks.find_end(self.received)
-            if not self._length and len(self.received) - self._head_length > 2 * BODY_LIMIT:
+            if not self._length and len(self.received) - self._head_length > 2 * MAX_BODY_BYTES:
                 raise MalformedError(413, "the body is too large")
         return 0 < self._length <= len(self.received)
 
@@ -140,7 +140,7 @@
             return False
         return expects_continue(bytes(self.received))
 
-    def take(self) -> tuple[bytes, int]:
+    def take_request(self) -> tuple[bytes, int]:
         """The whole request, with a body of a plain length, and how many bytes came behind it."""
         excess = len(self.received) - self._length
         if self._chunks is None:
@@ -153,7 +153,7 @@
     def _read_head(self, added: int) -> bool:
         """Look for the head's end; whether it is there."""
         end = self.received.find(b"\r\n\r\n", max(0, len(self.received) - added - 3))
-        if (end if end >= 0 else len(self.received)) > HEAD_LIMIT:
+        if (end if end >= 0 else len(self.received)) > MAX_HEAD_BYTES:
             raise MalformedError(431, "the head is too long")
         if end < 0:
             return False
--- a/dunepulley/net/frontend/request_parser.py
+++ b/dunepulley/net/frontend/request_parser.py
@@ -24,7 +24,7 @@
 # The timeout counts from when the client sent. The way here, the answer's way back and the moment after the
 # deadline in which the router answers what no endpoint did are to fit in: a hundredth of a second is several
 # times each of them on a machine that is not overloaded, and no part of a timeout that matters.
-ON_THE_WAY_MS = 10.0
+DELIVERY_MARGIN_MS = 10.0
 # Hints beyond this make no sense.
 _MOST_HINT = 1e12
 
@@ -51,24 +51,24 @@
         """The request, with its body."""
         target, headers = request.raw_path, request.headers
         path = target.partition("?")[0]
-        received_ms = self._clock() - connection.waited_ms()
+        received_ms = self._clock() - connection.take_unread_ms()
         request_class = self._request_class(target, path)
         request_id = _matching(_REQUEST_ID, headers.get("X-Call-Id", ""), "X-Call-Id is missing or odd")
         timeout = _matching(
             _TIMEOUT, headers.get("X-Budget-Ms", ""), "X-Budget-Ms is missing or no whole number"
         )
         forwarded = self._forwarded_headers(headers, request_class)
-        hints = hints_of(headers.get("X-Call-Info", ""))
+        hints = parse_hints(headers.get("X-Call-Info", ""))
         arrived = RequestArrived(
             request_id,
             request_class,
-            max(MIN_TIMEOUT_MS, float(timeout) - ON_THE_WAY_MS),
-            slots=number_of(hints.get("slots", "1")) or 1.0,
+            max(MIN_TIMEOUT_MS, float(timeout) - DELIVERY_MARGIN_MS),
+            slots=parse_hint_number(hints.get("slots", "1")) or 1.0,
             tenant=headers.get("X-Caller", ""),
-            expected_ms=number_of(headers.get("X-Call-Cost", "0")) / 1000.0,
+            expected_ms=parse_hint_number(headers.get("X-Call-Cost", "0")) / 1000.0,
             is_retry=headers.get("X-Again") == "1",
             affinity_key=path.rpartition("/")[2] if self._affinity_by_path else "",
-            memory=number_of(hints.get("memory", "0")),
+            memory=parse_hint_number(hints.get("memory", "0")),
         )
         body = await read_body(request)
         if self._is_in_hand(request_id):
@@ -113,13 +113,13 @@
         raise MalformedError(413, "the body is too large") from problem
 
 
-def hints_of(text: str) -> dict[str, str]:
+def parse_hints(text: str) -> dict[str, str]:
     """`name=value` pairs set apart by commas."""
     pairs = [pair.partition("=") for pair in text.split(",")]
     return {name.strip(): value.strip() for name, _, value in pairs}
 
 
-def number_of(text: str) -> float:
+def parse_hint_number(text: str) -> float:
     """A number that is only a hint: what cannot be read, or makes no sense, counts as not given."""
     try:
         number = float(text)
--- a/dunepulley/net/handover.py
+++ b/dunepulley/net/handover.py
@@ -12,9 +12,9 @@
 from dunepulley.net.core import Core
 from dunepulley.net.discovery_watch import DiscoveryWatch
 from dunepulley.net.endpoint_list import format_endpoint_list
-from dunepulley.net.frontend.server import HANDED, FrontendServer
+from dunepulley.net.frontend.server import HANDED_OVER, FrontendServer
 from dunepulley.net.hot_restart import HotRestart, Inherited
-from dunepulley.net.hot_restart.state import ClockState, HandoverState
+from dunepulley.net.hot_restart.state import ClockState, HotRestartState
 from dunepulley.net.log_events import LogEvent
 from dunepulley.net.messages import WarmStateReceived, WarmStateRequested
 from dunepulley.net.peers import Peers
@@ -28,7 +28,7 @@
 ALL_LIMITS = 1.0
 
 
-class Handover:
+class HotRestartActions:
     """Implements `hot_restart.Dispatcher` on the parts of a dispatcher."""
 
     def __init__(
@@ -42,7 +42,7 @@
     ) -> None:
         """`open_gossip` opens the socket of `peers`, which a parent closes and opens again to resume."""
         self.core = core
-        self.clients = clients
+        self.frontend = clients
         self.upstream = upstream
         self.peers = peers
         self.watch = watch
@@ -71,12 +71,12 @@
         """Return the state that a child starts from, as JSON."""
         core = self.core
         plan = None
-        if core.endpoints.follower is not None and core.endpoints.follower.holds(core.clock()):
+        if core.endpoints.follower is not None and core.endpoints.follower.has_valid_plan(core.clock()):
             # Loaded only here: most dispatchers follow no plan.
             from dunepulley.net.plan_message import format_plan
 
             plan = format_plan(core.endpoints.follower.lease, core.clock)
-        return HandoverState(
+        return HotRestartState(
             known=format_endpoint_list(
                 core.endpoints.entries.values(), core.endpoints.addresses, core.endpoints.revision
             ),
@@ -90,13 +90,13 @@
 
     def listening_socket(self) -> socket.socket:
         """Return the socket that clients connect to."""
-        return self.clients.listener.socket
+        return self.frontend.listener.socket
 
     async def hand_over(self) -> dict[str, Any]:
         """Accept no more connections, and end once nothing is open; return the router's warm state."""
-        self.clients.listener.stop_accepting()
+        self.frontend.listener.stop_accepting()
         self.peers.close()
-        self.clients.leave(HANDED, IDLE_CLOSE_S)
+        self.frontend.leave(HANDED_OVER, IDLE_CLOSE_S)
         self.core.put(SlowStartBudgetAssigned(False))
         self._use_limits(SHARED_LIMITS)
         self.task = asyncio.create_task(self._finish())
@@ -105,22 +105,22 @@
     def resume(self) -> bool:
         """Serve again, as the child has ended; False where this process is ending, too."""
         self.cancel()
-        if not self.clients.join(after=HANDED):
+        if not self.frontend.join(after=HANDED_OVER):
             return False
         log.write(LogEvent.HOT_RESTART, "the successor has ended; this process serves again")
         self.core.put(SlowStartBudgetAssigned(True))
         self._use_limits(ALL_LIMITS)
         self.task = asyncio.create_task(self.open_gossip())
-        self.clients.listener.start_accepting()
+        self.frontend.listener.start_accepting()
         return True
 
     def receive_callback(self, body: bytes) -> int | None:
         """Return the HTTP status for a callback; None where its request is not held here."""
-        return self.clients.callbacks.receive_forwarded(body)
+        return self.frontend.callbacks.receive_forwarded(body)
 
     async def _finish(self) -> None:
-        await self.clients.none_waiting.wait()
-        while self.core.requests or self.clients.server.owes_responses():
+        await self.frontend.none_waiting.wait()
+        while self.core.requests or self.frontend.server.has_unsent_responses():
             # Attempts whose cancellation is on its way to their endpoints, halves of requests, and answers
             # that are not written yet.
             await asyncio.sleep(shutdown.POLL_S)
@@ -129,8 +129,8 @@
     # ---------------------------------------------------------------- both
 
     def _use_limits(self, share: float) -> None:
-        self.clients.server.share(share)
-        self.upstream.share(share)
+        self.frontend.server.set_connection_fraction(share)
+        self.upstream.set_connection_fraction(share)
 
     def cancel(self) -> None:
         """Stop what a handover has begun."""
--- a/dunepulley/net/hot_restart/__init__.py
+++ b/dunepulley/net/hot_restart/__init__.py
@@ -10,17 +10,17 @@
 What a hot restart does to the dispatcher is told to `HotRestart` as a `Dispatcher`.
 """
 
-from dunepulley.net.hot_restart.child import HandoverError, Inherited, request_handover
+from dunepulley.net.hot_restart.child import HotRestartError, Inherited, request_parent_state
 from dunepulley.net.hot_restart.coordinator import Dispatcher, HotRestart
 from dunepulley.net.hot_restart.link import Link
 from dunepulley.net.hot_restart.paths import socket_path
 
 __all__ = [
     "Dispatcher",
-    "HandoverError",
+    "HotRestartError",
     "HotRestart",
     "Inherited",
     "Link",
-    "request_handover",
+    "request_parent_state",
     "socket_path",
 ]
--- a/dunepulley/net/hot_restart/child.py
+++ b/dunepulley/net/hot_restart/child.py
@@ -25,7 +25,7 @@
 NO_ANSWER = "the process that serves does not answer"
 
 
-class HandoverError(Exception):
+class HotRestartError(Exception):
     """There is a process that serves, but it does not hand over; the text says why in one line."""
 
 
@@ -40,7 +40,7 @@
     state: dict[str, Any]
 
 
-def request_handover(path: str, name: str) -> Inherited | None:
+def request_parent_state(path: str, name: str) -> Inherited | None:
     """Ask the process that listens at a path for what it passes on; None where there is none.
 
     A socket that nobody listens at is left over from a process that was killed. Raises HandoverError where
@@ -57,9 +57,9 @@
         inherited = _exchange(link, path, name, descriptors)
         return inherited
     except TimeoutError as error:
-        raise HandoverError(NO_ANSWER) from error
+        raise HotRestartError(NO_ANSWER) from error
     except (OSError, ValueError) as error:
-        raise HandoverError(f"{path}: {error}") from error
+        raise HotRestartError(f"{path}: {error}") from error
     finally:
         if inherited is None:
             link.close()
@@ -81,7 +81,7 @@
             link.connect(short)
     except TimeoutError as error:
         link.close()
-        raise HandoverError(NO_ANSWER) from error
+        raise HotRestartError(NO_ANSWER) from error
     except OSError as error:
         link.close()
         if not isinstance(error, FileNotFoundError | ConnectionRefusedError | NotADirectoryError):
@@ -95,15 +95,15 @@
 def _exchange(link: socket.socket, path: str, name: str, descriptors: list[int]) -> Inherited:
     """Say hello and return the parent's answer; the caller closes what is left in `descriptors`."""
     if not is_same_user(link):
-        raise HandoverError(f"{path} is another user's")
+        raise HotRestartError(f"{path} is another user's")
     link.sendall(orjson.dumps(Hello(PROTOCOL_VERSION, name).to_json()) + b"\n")
     state = orjson.loads(_receive_line(link, descriptors))
     if not isinstance(state, dict):
-        raise HandoverError(NO_HANDOVER)
+        raise HotRestartError(NO_HANDOVER)
     if "refused" in state:
-        raise HandoverError(f"{NO_HANDOVER}: {state['refused']}")
+        raise HotRestartError(f"{NO_HANDOVER}: {state['refused']}")
     if len(descriptors) != 1:
-        raise HandoverError("the process that serves passed no socket on")
+        raise HotRestartError("the process that serves passed no socket on")
     return Inherited(socket.socket(fileno=descriptors.pop()), link, state)
 
 
@@ -115,5 +115,5 @@
         descriptors += received
         line += data
         if not data or len(line) > MAX_MESSAGE_BYTES:
-            raise HandoverError(NO_HANDOVER)
+            raise HotRestartError(NO_HANDOVER)
     return line
--- a/dunepulley/net/hot_restart/messages.py
+++ b/dunepulley/net/hot_restart/messages.py
@@ -1,7 +1,7 @@
 """The messages between parent and child: one JSON object a line.
 
 The first two of a link are a child's `Hello` and the parent's answer: `Refused`, or the state that it passes
-on (`state.HandoverState`), after a single space that carries the listening socket. All others may come at
+on (`state.HotRestartState`), after a single space that carries the listening socket. All others may come at
 any time. Keys that are not known are passed over, so that another version may add some.
 """
 
--- a/dunepulley/net/hot_restart/state.py
+++ b/dunepulley/net/hot_restart/state.py
@@ -34,7 +34,7 @@
     starts: dict[str, float]
 
 
-class HandoverState(NamedTuple):
+class HotRestartState(NamedTuple):
     """What a child starts from; lists, drains and plan are in their own JSON forms."""
 
     known: dict[str, Any]
--- a/dunepulley/net/listener.py
+++ b/dunepulley/net/listener.py
@@ -9,7 +9,7 @@
 from dunepulley.net import log
 from dunepulley.net.counters import Counters
 from dunepulley.net.log_events import LogEvent
-from dunepulley.net.system_errors import NO_DESCRIPTOR, PENDING_ON_ACCEPTED
+from dunepulley.net.system_errors import OUT_OF_DESCRIPTORS, PENDING_SOCKET_ERRORS
 
 # Without a descriptor the next attempt may find one.
 RETRY_S = 0.02
@@ -34,7 +34,7 @@
         free_descriptor: Callable[[], bool],
         counters: Counters,
     ) -> None:
-        """`event` is that of its log lines; `protocol` makes that of a connection from `unseen_since`.
+        """`event` is that of its log lines; `protocol` makes that of a connection from `queued_since_s`.
 
         `free_descriptor` closes another connection.
         """
@@ -45,14 +45,14 @@
         self.socket: socket.socket | None = None
         self.accepting = False
         # Since when connections may have waited unseen, by the event loop's clock in s; 0 if none has.
-        self.unseen_since = 0.0
+        self.queued_since_s = 0.0
         self._failed_in_a_row = 0
         self._connecting: set[asyncio.Task] = set()
 
     def bind(self, host: str, port: int) -> int:
         """Listen at an address, from which nothing is accepted yet; return the port. Raises OSError."""
         family = socket.AF_INET6 if ":" in host else socket.AF_INET
-        self.unseen_since = asyncio.get_running_loop().time()
+        self.queued_since_s = asyncio.get_running_loop().time()
         return self.adopt(socket.create_server((host, port), family=family, backlog=BACKLOG))
 
     def adopt(self, listening: socket.socket) -> int:
@@ -67,7 +67,7 @@
         So what came over one is read before the next is accepted.
         """
         self.accepting = True
-        if self.unseen_since:
+        if self.queued_since_s:
             asyncio.get_running_loop().call_soon(self._accept)
         else:
             self._watch()
@@ -95,8 +95,8 @@
         try:
             connection, _ = self.socket.accept()
         except BlockingIOError:
-            if self.unseen_since:
-                self.unseen_since = 0.0
+            if self.queued_since_s:
+                self.queued_since_s = 0.0
                 self._watch()
             return  # it has gone again, or the other process that shares this socket has it
         except OSError as error:
@@ -104,11 +104,11 @@
             return
         self._failed_in_a_row = 0
         connection.setblocking(False)
-        if self.unseen_since:
+        if self.queued_since_s:
             # Until the queue is empty: what comes then has not waited.
             loop.remove_reader(self.socket)
             loop.call_soon(self._accept)
-        task = loop.create_task(self._connect(connection, self.unseen_since))
+        task = loop.create_task(self._connect(connection, self.queued_since_s))
         self._connecting.add(task)
         task.add_done_callback(self._connecting.discard)
 
@@ -118,21 +118,21 @@
         self.counters["not accepted"] += 1
         self._failed_in_a_row += 1
         log.write(self.event, f"a connection was not accepted: {error.strerror}")
-        if error.errno in NO_DESCRIPTOR:
+        if error.errno in OUT_OF_DESCRIPTORS:
             # What has come over the others is read first: one that seems silent may not be.
             loop.call_soon(self.free_descriptor)
-        if error.errno not in PENDING_ON_ACCEPTED or self._failed_in_a_row > MAX_IMMEDIATE_RETRIES:
-            self.unseen_since = self.unseen_since or loop.time()
+        if error.errno not in PENDING_SOCKET_ERRORS or self._failed_in_a_row > MAX_IMMEDIATE_RETRIES:
+            self.queued_since_s = self.queued_since_s or loop.time()
             loop.remove_reader(self.socket)
             loop.call_later(RETRY_S, self._watch)
-        elif self.unseen_since:
+        elif self.queued_since_s:
             loop.call_soon(self._accept)
 
-    async def _connect(self, connection: socket.socket, unseen_since: float) -> None:
+    async def _connect(self, connection: socket.socket, queued_since_s: float) -> None:
         """Give a connection its protocol."""
         loop = asyncio.get_running_loop()
         try:
-            await loop.connect_accepted_socket(lambda: self.protocol(unseen_since), connection)
+            await loop.connect_accepted_socket(lambda: self.protocol(queued_since_s), connection)
         except OSError:
             connection.close()
 
--- a/dunepulley/net/messages.py
+++ b/dunepulley/net/messages.py
@@ -12,7 +12,7 @@
 from enum import StrEnum
 from typing import TYPE_CHECKING, Any, NamedTuple
 
-from dunepulley.control.drains import NEVER, DrainSet
+from dunepulley.control.drains import INFINITY, DrainSet
 from dunepulley.routing.events import RequestArrived
 
 if TYPE_CHECKING:
@@ -101,7 +101,7 @@
         address: str,
         timeout_ms: float,
         started_ms: float,
-        start_before_ms: float = NEVER,
+        start_before_ms: float = INFINITY,
     ) -> None:
         self.request = request
         self.number = number
--- a/dunepulley/net/metrics.py
+++ b/dunepulley/net/metrics.py
@@ -12,7 +12,7 @@
 
 PREFIX = "edge_router"
 # What a response is to the request's class.
-ANSWERED, DEFERRED, WRITTEN_OFF = OUTCOMES = ("answered", "deferred", "errored")
+ANSWERED, REJECTED, FAILED = OUTCOMES = ("answered", "deferred", "errored")
 # What would end a name or a line; it is escaped, so that no two request classes share a metric.
 UNSAFE_CHARACTER = re.compile(r"[^A-Za-z0-9_-]")
 
--- a/dunepulley/net/plan_view.py
+++ b/dunepulley/net/plan_view.py
@@ -66,7 +66,7 @@
         required_kinds: set[str],
     ) -> frozenset[str]:
         """The ids of the ready endpoints that `follower` uses now."""
-        holds, escaped = follower.holds(now), now < follower.escaped_until
+        holds, escaped = follower.has_valid_plan(now), now < follower.escape_ends_ms
         inputs = PlanInputs(
             ready, follower.lease.plan, holds, escaped, frozenset(ejected), frozenset(required_kinds)
         )
--- a/dunepulley/net/process.py
+++ b/dunepulley/net/process.py
@@ -13,7 +13,7 @@
 from dunepulley.net import log
 from dunepulley.net.config import ConfigError, DispatcherConfig
 from dunepulley.net.counters import Counters
-from dunepulley.net.hot_restart import HandoverError, request_handover, socket_path
+from dunepulley.net.hot_restart import HotRestartError, request_parent_state, socket_path
 from dunepulley.net.log_events import LogEvent
 from dunepulley.net.service import Service
 
@@ -51,8 +51,8 @@
     """Create the dispatcher, with what the process that serves passes on, if there is one."""
     try:
         path = socket_path(config.temp_dir, *config.listen)
-        return Service(config, request_handover(path, config.name))
-    except HandoverError as error:
+        return Service(config, request_parent_state(path, config.name))
+    except HotRestartError as error:
         raise ConfigError(str(error)) from error
 
 
--- a/dunepulley/net/recorder.py
+++ b/dunepulley/net/recorder.py
@@ -12,7 +12,7 @@
 from dunepulley.net.log_events import LogEvent
 
 # A process that starts leaves those before it, or beside it in an upgrade, theirs.
-MOST_FILES = 100
+MAX_FILES = 100
 # After a failure the file is tried again this often, by the clock that items come with.
 TRY_AGAIN_MS = 10_000.0
 # What a disk or a limit does for a while; anything else at the start is a setting that cannot be used.
@@ -23,7 +23,7 @@
 
 def _new(path: str) -> tuple[str, BinaryIO]:
     """A file that was not there: the name itself, or with a number behind it."""
-    for number in range(MOST_FILES):
+    for number in range(MAX_FILES):
         name = f"{path}.{number}" if number else path
         try:
             return name, open(name, "xb", buffering=65536)
@@ -65,14 +65,14 @@
             self.left = 0
             log.write(
                 LogEvent.RECORDER,
-                f"nothing is written: {path} and {MOST_FILES - 1} names beside it are taken",
+                f"nothing is written: {path} and {MAX_FILES - 1} names beside it are taken",
             )
         except OSError as problem:
             if problem.errno not in PASSING:
                 raise
             self._stop(problem)
 
-    def came(self, now: float, category: str, budget: float, hint: float, size: int) -> None:
+    def record_request(self, now: float, category: str, budget: float, hint: float, size: int) -> None:
         """A work item was taken, at `now` in ms of a steady clock."""
         if not self.left:
             return
--- a/dunepulley/net/service.py
+++ b/dunepulley/net/service.py
@@ -17,7 +17,7 @@
 from dunepulley.net.discovery_watch import DiscoveryWatch
 from dunepulley.net.event_log import EventLog
 from dunepulley.net.frontend.server import FrontendServer
-from dunepulley.net.handover import Handover
+from dunepulley.net.handover import HotRestartActions
 from dunepulley.net.hot_restart import HotRestart, Inherited, socket_path
 from dunepulley.net.hot_restart.state import (
     inherited_clock,
@@ -49,35 +49,37 @@
     def __init__(self, config: DispatcherConfig, inherited: Inherited | None = None) -> None:
         """`inherited` is what the parent process of a hot restart passes on, if there is one."""
         if inherited is not None:
-            known = inherited_list(inherited, config.discovery, config.known)
-            config = config._replace(known=known)
+            known = inherited_list(inherited, config.discovery, config.initial_list)
+            config = config._replace(initial_list=known)
         self.config = config
         self.inherited = inherited
         self.counters = Counters()
         self.failed = asyncio.Event()
         self.task: asyncio.Task | None = None
-        self.port = self.console_port = 0
-        sockets = min(config.sockets, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        self.port = self.admin_port = 0
+        sockets = min(config.max_descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         self.core = self._create_core()
         self.upstream = UpstreamClient(
             config.settings, sockets, self.core.put, self.counters, self.core.may_begin
         )
         self.core.executor.attempt_sender = self.upstream
         self.peers = Peers(
-            self.core.dispatcher.settings.dispatcher_number, config.peers, self.core.put, self.counters
+            self.core.router.settings.dispatcher_number, config.peers, self.core.put, self.counters
         )
         self.core.executor.gossip_sender = self.peers
-        self.clients = FrontendServer(self.core, config.settings, sockets, self.counters, config.by_key)
-        self.clients.server.max_partial_bytes = int(config.memory_mb * INCOMPLETE_REQUEST_BYTES_PER_MB)
-        self.admin_commands = AdminCommands(config, self.core, self.clients, self.counters)
+        self.frontend = FrontendServer(
+            self.core, config.settings, sockets, self.counters, config.affinity_key_in_path
+        )
+        self.frontend.server.max_partial_bytes = int(config.memory_mb * INCOMPLETE_REQUEST_BYTES_PER_MB)
+        self.admin_commands = AdminCommands(config, self.core, self.frontend, self.counters)
         self.admin = self._create_admin_server(sockets)
         self.watch = DiscoveryWatch(config, self.core, self.counters, self._task_ended)
-        self.handover = Handover(
-            self.core, self.clients, self.upstream, self.peers, self.watch, self._open_gossip
+        self.handover = HotRestartActions(
+            self.core, self.frontend, self.upstream, self.peers, self.watch, self._open_gossip
         )
         path = socket_path(config.temp_dir, *config.listen)
         self.hot_restart = HotRestart(self.handover, path, self.counters)
-        self.clients.callbacks.forward = self.hot_restart.forward_callback
+        self.frontend.callbacks.forward = self.hot_restart.forward_callback
 
     def _create_core(self) -> Core:
         """Create the router's task, by the parent's clock if there is a parent."""
@@ -87,9 +89,9 @@
         clock = self.configured_clock
         if inherited is not None:
             clock = inherited_clock(inherited, self.configured_clock)
-        core = Core(config.seed, config.settings, config.known, self.counters, clock)
+        core = Core(config.seed, config.settings, config.initial_list, self.counters, clock)
         if clock is not self.configured_clock:
-            core.endpoints.starts.inherit(config.known.update.entries, inherited_starts(inherited))
+            core.endpoints.starts.inherit(config.initial_list.update.entries, inherited_starts(inherited))
         if config.events:
             core.event_log = EventLog(config.name, core.now)
         if config.plan:
@@ -125,7 +127,7 @@
         if self.inherited is not None:
             await self.handover.take_over(self.hot_restart, self.inherited)
         await self._open_gossip()
-        self.clients.listener.start_accepting()
+        self.frontend.listener.start_accepting()
         self.hot_restart.listen_for_child()
 
     def drains_at_start(self) -> drains.DrainSet:
@@ -149,7 +151,7 @@
             log.write(LogEvent.HOT_RESTART, f"the plan of the process before cannot be read: {error}")
             return
         if held is not None:
-            self.core.endpoints.follower.take(held)
+            self.core.endpoints.follower.accept(held)
 
     def _run_core(self) -> None:
         self.task = asyncio.create_task(self.core.run())
@@ -161,7 +163,7 @@
         if trace is None:
             return
         try:
-            self.clients.recorder = Recorder(trace.path, trace.max_requests, self.config.name)
+            self.frontend.recorder = Recorder(trace.path, trace.max_requests, self.config.name)
         except OSError as error:
             raise ConfigError(f"cannot write {trace.path}: {error.strerror}") from error
 
@@ -170,12 +172,12 @@
         host, port = self.config.listen
         try:
             if self.inherited is not None:
-                self.port = self.clients.listener.adopt(self.inherited.listening)
+                self.port = self.frontend.listener.adopt(self.inherited.listening)
             else:
-                self.port = self.clients.listener.bind(host, port)
-            if self.config.console:
-                host, port = self.config.console
-                self.console_port = self.admin.listener.bind(host, port)
+                self.port = self.frontend.listener.bind(host, port)
+            if self.config.admin_address:
+                host, port = self.config.admin_address
+                self.admin_port = self.admin.listener.bind(host, port)
                 self.admin.listener.start_accepting()
         except OSError as error:
             raise ConfigError(f"cannot listen at {host}:{port}: {error.strerror}") from error
@@ -213,21 +215,21 @@
 
     async def finish(self) -> None:
         """Serve on for a while, then accept no more and answer what was accepted (SIGTERM)."""
-        await shutdown.finish(self.clients, self.config.settings)
+        await shutdown.finish(self.frontend, self.config.settings)
 
     async def finish_start(self) -> None:
         """Reject what has come to the address before this process served (SIGTERM during the start)."""
-        if self.inherited is None and self.clients.listener.socket is not None:
-            await shutdown.reject_queued(self.clients, self.config.settings)
+        if self.inherited is None and self.frontend.listener.socket is not None:
+            await shutdown.reject_queued(self.frontend, self.config.settings)
 
     async def close(self) -> None:
         """Close every socket, file and task."""
         self.handover.cancel()
         await self.hot_restart.close()
-        await self.clients.close()
+        await self.frontend.close()
         self.admin.close()
-        if self.clients.recorder is not None:
-            self.clients.recorder.close()
+        if self.frontend.recorder is not None:
+            self.frontend.recorder.close()
         self.peers.close()
         tasks = [task for task in (self.task, self.watch.task, self.handover.task) if task is not None]
         for task in tasks:
--- a/dunepulley/net/shutdown.py
+++ b/dunepulley/net/shutdown.py
@@ -13,7 +13,7 @@
 from typing import Any
 
 from dunepulley.net import log
-from dunepulley.net.frontend.server import ENDING, FrontendServer
+from dunepulley.net.frontend.server import SHUTTING_DOWN, FrontendServer
 from dunepulley.net.log_events import LogEvent
 from dunepulley.net.settings_document import class_settings
 
@@ -41,17 +41,17 @@
 async def finish(clients: FrontendServer, settings: dict[str, Any]) -> None:
     """Serve on for a while, then accept no more requests and answer those that were accepted."""
     time_s = time_to_finish_s(settings)
-    clients.leave(ENDING, max(LATE_CONNECTIONS_S, time_s - LAST_REQUESTS_S))
+    clients.leave(SHUTTING_DOWN, max(LATE_CONNECTIONS_S, time_s - LAST_REQUESTS_S))
     try:
         async with asyncio.timeout(time_s):
             await clients.none_waiting.wait()
             # A request that is half here, or an answer that a slow client still reads, has the time that is
             # left: written whole to a connection that was closed, the request is lost.
-            while clients.server.owes_responses():
+            while clients.server.has_unsent_responses():
                 await asyncio.sleep(POLL_S)
     except TimeoutError:
         log.write(LogEvent.SERVICE, f"{len(clients.waiting)} work items were written off at the end")
-        clients.write_off()
+        clients.fail_waiting_requests()
 
 
 async def reject_queued(clients: FrontendServer, settings: dict[str, Any]) -> None:
@@ -59,7 +59,7 @@
 
     Nothing of them is forwarded: what discovery has to tell may not have been heard.
     """
-    clients.leave(ENDING, 0.0)
+    clients.leave(SHUTTING_DOWN, 0.0)
     clients.listener.start_accepting()
     await asyncio.sleep(LATE_CONNECTIONS_S)
     await finish(clients, settings)
--- a/dunepulley/net/system_errors.py
+++ b/dunepulley/net/system_errors.py
@@ -13,14 +13,14 @@
 
 import errno
 
-NO_DESCRIPTOR = frozenset((errno.EMFILE, errno.ENFILE))
-NO_MEMORY = frozenset((errno.ENOBUFS, errno.ENOMEM))
-NO_WAY_OUT = frozenset(
+OUT_OF_DESCRIPTORS = frozenset((errno.EMFILE, errno.ENFILE))
+OUT_OF_MEMORY = frozenset((errno.ENOBUFS, errno.ENOMEM))
+NO_ROUTE_OR_PERMISSION = frozenset(
     (errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.ENETUNREACH, errno.ENETDOWN, errno.EPERM, errno.EACCES)
 )
-OF_THIS_HOST = NO_DESCRIPTOR | NO_MEMORY | NO_WAY_OUT
+LOCAL_ERRORS = OUT_OF_DESCRIPTORS | OUT_OF_MEMORY | NO_ROUTE_OR_PERMISSION
 # accept(2): errors that were pending on the connection, which it has taken from the queue.
-PENDING_ON_ACCEPTED = frozenset(
+PENDING_SOCKET_ERRORS = frozenset(
     (
         *(errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN),
         *(errno.ENONET, errno.EHOSTUNREACH, errno.EOPNOTSUPP, errno.ENETUNREACH, errno.EINTR),
@@ -28,6 +28,6 @@
 )
 
 
-def is_of_this_host(error: BaseException) -> bool:
+def is_local_error(error: BaseException) -> bool:
     """Whether an exchange failed by a fault of this host, not of the endpoint."""
-    return getattr(error, "errno", None) in OF_THIS_HOST
+    return getattr(error, "errno", None) in LOCAL_ERRORS
--- a/dunepulley/net/upstream/cancellation.py
+++ b/dunepulley/net/upstream/cancellation.py
@@ -9,16 +9,16 @@
 
 from dunepulley.net.counters import Counters
 from dunepulley.net.messages import UpstreamAttempt
-from dunepulley.net.system_errors import is_of_this_host
-from dunepulley.net.upstream.responses import endpoint_url, read_rest
+from dunepulley.net.system_errors import is_local_error
+from dunepulley.net.upstream.responses import endpoint_url, read_response_body
 
 # Ten times the longest way there and back: an endpoint that leaves a request unanswered for this long is down
 # or cut off.
-SILENT_S = 1.0
+RESPONSE_TIMEOUT_S = 1.0
 # Where requests may not be hedged, an endpoint whose connections come up late is waited for: up to 1.5 s
 # late, after a kept connection that was silent. One that breaks connections is asked again each tenth of a
 # second.
-CONFIRM_WITHIN_S, RETRY_AFTER_S = 2.2, 0.1
+CONFIRMATION_TIMEOUT_S, RETRY_INTERVAL_S = 2.2, 0.1
 # Where they may, an endpoint is asked so often.
 _HEDGED_TRIES = 2
 # An endpoint that ended the connection and then refuses new ones so often in a row is taken for a process
@@ -54,16 +54,16 @@
     async def run(self) -> None:
         """Send it until it is confirmed or there is no time left."""
         loop = asyncio.get_running_loop()
-        end_s = loop.time() + (SILENT_S if self._is_hedged else CONFIRM_WITHIN_S)
+        end_s = loop.time() + (RESPONSE_TIMEOUT_S if self._is_hedged else CONFIRMATION_TIMEOUT_S)
         while not self.is_confirmed and loop.time() < end_s and self._may_try():
-            timeout_s = end_s - loop.time() if self._tries else SILENT_S / 2
+            timeout_s = end_s - loop.time() if self._tries else RESPONSE_TIMEOUT_S / 2
             self._tries += 1
             try:
                 await self._send(timeout_s)
             except (aiohttp.ClientError, OSError) as error:
                 is_local = self._record_failure(error)
                 if not self.is_confirmed and (is_local or not self._is_hedged):
-                    await asyncio.sleep(RETRY_AFTER_S)
+                    await asyncio.sleep(RETRY_INTERVAL_S)
 
     def _may_try(self) -> bool:
         return self._tries < _HEDGED_TRIES or not self._is_hedged
@@ -75,12 +75,12 @@
         ):
             self._counters[f"delete {response.status}"] += 1
             self.is_confirmed = True
-            await read_rest(response)
+            await read_response_body(response)
 
     def _record_failure(self, error: Exception) -> bool:
         """Count a failed try; whether the fault was this host's."""
         self._counters["delete unheard"] += 1
-        is_local = is_of_this_host(error)
+        is_local = is_local_error(error)
         # What failed here was no try: the endpoint is told once that is possible.
         self._tries -= is_local
         is_refused = getattr(error, "errno", None) == errno.ECONNREFUSED
--- a/dunepulley/net/upstream/client.py
+++ b/dunepulley/net/upstream/client.py
@@ -14,27 +14,27 @@
 from dunepulley.net.counters import Counters
 from dunepulley.net.log_events import LogEvent
 from dunepulley.net.messages import AttemptFinished, UpstreamAttempt
-from dunepulley.net.system_errors import NO_DESCRIPTOR, NO_MEMORY, is_of_this_host
-from dunepulley.net.upstream.cancellation import SILENT_S, Cancellation
+from dunepulley.net.system_errors import OUT_OF_DESCRIPTORS, OUT_OF_MEMORY, is_local_error
+from dunepulley.net.upstream.cancellation import RESPONSE_TIMEOUT_S, Cancellation
 from dunepulley.net.upstream.request_body import AttemptBody
 from dunepulley.net.upstream.responses import (
     ACCEPTED,
     ended_by_endpoint,
     endpoint_url,
     parse_health_report,
-    read_rest,
+    read_response_body,
     result_of_failure,
     result_of_response,
 )
 from dunepulley.routing.events import AttemptResult, HealthCheckEnded
 
 # After a fault of this host: told at once, the next attempt would meet it, too.
-LOCAL_FAULT_PAUSE_S = 0.1
+LOCAL_FAULT_DELAY_S = 0.1
 # A process may be held up for 0.15 s.
-HELD_UP_S = 0.2
+MAX_PROCESS_PAUSE_S = 0.2
 # An endpoint answers an attempt when it has taken it, not when it has run it. Where neither that nor a
 # callback has come after this, the connection has fallen silent: waiting on would cost the request its time.
-UNANSWERED_S = 0.5
+ATTEMPT_RESPONSE_TIMEOUT_S = 0.5
 # The library's own end of an attempt comes so long after the attempt's timeout.
 _TIMEOUT_MARGIN_S = 1.0
 # Of the time after which endpoints close an idle connection, the part for which it is used again: the rest is
@@ -115,7 +115,7 @@
         session._retry_connection = False
         return session
 
-    def share(self, part: float) -> None:
+    def set_connection_fraction(self, part: float) -> None:
         """Use this part of the connections allowed: another process of this dispatcher uses the rest."""
         self.session.connector._limit = max(4, int(self._max_connections * part))
 
@@ -204,7 +204,7 @@
         timeout = aiohttp.ClientTimeout(
             total=attempt.timeout_ms / 1000.0 + _TIMEOUT_MARGIN_S,
             connect=self._connect_s,
-            sock_read=UNANSWERED_S,
+            sock_read=ATTEMPT_RESPONSE_TIMEOUT_S,
         )
         async with self.session.post(
             endpoint_url(attempt.address, request.target),
@@ -219,7 +219,7 @@
                 # What becomes of it comes by callback, even if the connection breaks in this moment.
                 exchange.accepted = True
                 self.counters["ho accepted"] += 1
-            await read_rest(response)
+            await read_response_body(response)
             exchange.load_report = load_reports.parse_report_text(response.headers.get("X-Load-Report"), "=")
             exchange.result = result_of_response(response)
             if response.status not in _USUAL_STATUSES:
@@ -227,17 +227,17 @@
 
     async def _result_of_failure(self, attempt: UpstreamAttempt, error: Exception) -> str:
         """What a broken exchange proves; after a fault of this host a moment later."""
-        is_local = is_of_this_host(error)
+        is_local = is_local_error(error)
         if is_local:
-            is_lacking = getattr(error, "errno", None) in NO_DESCRIPTOR | NO_MEMORY
+            is_lacking = getattr(error, "errno", None) in OUT_OF_DESCRIPTORS | OUT_OF_MEMORY
             self.counters["no descriptor" if is_lacking else "no way out"] += 1
             log.write(LogEvent.SOCKETS, f"a connection to a worker failed here: {error}")
         result = result_of_failure(attempt, error, is_local)
         if result is AttemptResult.NOT_SENT and is_local:
             # Near its timeout it is told at once: a timeout that ends first counts against the endpoint.
             left_s = attempt.deadline_s - asyncio.get_running_loop().time()
-            if left_s > LOCAL_FAULT_PAUSE_S + HELD_UP_S:
-                await asyncio.sleep(LOCAL_FAULT_PAUSE_S)
+            if left_s > LOCAL_FAULT_DELAY_S + MAX_PROCESS_PAUSE_S:
+                await asyncio.sleep(LOCAL_FAULT_DELAY_S)
         return result
 
     # ---------------------------------------------------------------- cancellation
@@ -295,14 +295,17 @@
         started_s = loop.time()
         report = None
         try:
-            async with asyncio.timeout(SILENT_S), self.session.get(url, allow_redirects=False) as response:
-                text = (await read_rest(response)).decode("utf-8", "replace")
+            async with (
+                asyncio.timeout(RESPONSE_TIMEOUT_S),
+                self.session.get(url, allow_redirects=False) as response,
+            ):
+                text = (await read_response_body(response)).decode("utf-8", "replace")
                 results = {200: AttemptResult.COMPLETED, 503: AttemptResult.REJECTED}
                 result = results.get(response.status, AttemptResult.ERRORED)
                 if self._has_reports and response.status in results:
                     report = parse_health_report(text)
         except (aiohttp.ClientConnectorError, aiohttp.ConnectionTimeoutError) as error:
-            result = AttemptResult.NOT_SENT if is_of_this_host(error) else AttemptResult.CONNECT_FAILED
+            result = AttemptResult.NOT_SENT if is_local_error(error) else AttemptResult.CONNECT_FAILED
         except TimeoutError:
             result = AttemptResult.TIMED_OUT
         except (aiohttp.ClientError, OSError):
--- a/dunepulley/net/upstream/responses.py
+++ b/dunepulley/net/upstream/responses.py
@@ -16,7 +16,7 @@
 
 # What is left of a response behind its head comes with it, or is one without end: no more of it is waited for
 # or read than this, as a body holds at most 64 KB.
-REST_S, MAX_REST_BYTES = 0.5, 65536
+BODY_READ_TIMEOUT_S, MAX_BODY_BYTES = 0.5, 65536
 ACCEPTED = 202
 # What no endpoint can read: the fault of what was sent.
 _UNPROCESSABLE_STATUSES = (400, 413, 414, 431)
@@ -30,16 +30,16 @@
     return URL.build(scheme="http", host=host, port=port, path=target, encoded=True)
 
 
-async def read_rest(response: aiohttp.ClientResponse) -> bytes:
+async def read_response_body(response: aiohttp.ClientResponse) -> bytes:
     """The body of a response, within bounds.
 
     Raises TimeoutError if it does not end in time, and ClientPayloadError if it is longer than any body.
     """
     rest = bytearray()
-    async with asyncio.timeout(REST_S):
+    async with asyncio.timeout(BODY_READ_TIMEOUT_S):
         async for part in response.content.iter_any():
             rest += part
-            if len(rest) > MAX_REST_BYTES:
+            if len(rest) > MAX_BODY_BYTES:
                 raise aiohttp.ClientPayloadError("an answer without end")
     return bytes(rest)
 
--- a/dunepulley/routing/admission.py
+++ b/dunepulley/routing/admission.py
@@ -49,7 +49,7 @@
         affinity: CacheAffinity,
     ) -> None:
         self._marks_retries = settings.clients_mark_retries
-        self._paid_by_work = settings.paid_by_work
+        self._paid_by_work = settings.value_scales_with_work
         self._over_quota_factor = settings.over_quota_factor
         self._classes = classes
         self._size_classes = size_classes
@@ -104,9 +104,11 @@
         if self._marks_retries and not event.is_retry:
             # Some clients are impatient.
             is_usual = timeout_ms > _SAME_TIMEOUT * first_timeout_ms
-            request_class.steady_clients += _STEADY_STEP * (is_usual - request_class.steady_clients)
+            request_class.fixed_timeout_fraction += _STEADY_STEP * (
+                is_usual - request_class.fixed_timeout_fraction
+            )
             # It may have waited for this process to wake, but not since before that fell asleep.
             return min(now, max(idle_since_ms, deadline_ms - first_timeout_ms))
-        if request_class.steady_clients > _STEADY_PART:
+        if request_class.fixed_timeout_fraction > _STEADY_PART:
             return min(now, deadline_ms - first_timeout_ms)
         return now
--- a/dunepulley/routing/affinity.py
+++ b/dunepulley/routing/affinity.py
@@ -53,7 +53,7 @@
         endpoints = self._endpoints_for(key, now)
         return iter(lambda: list(islice(endpoints, _GROUP_SIZE)), [])
 
-    def endpoint_changes(self, endpoint: Endpoint) -> None:
+    def record_endpoint_change(self, endpoint: Endpoint) -> None:
         """Take in that an endpoint has come or gone, or is about to have another capacity."""
         if not self._orders:
             return
@@ -81,7 +81,7 @@
         looked, last = 0, min(2 * most, ready)
         while looked < last:
             order = self._order_of(key, min(last, 4 * looked + _GROUP_SIZE), 2 * most)
-            head = order.places[looked:last]
+            head = order.entries[looked:last]
             looked += len(head)
             for _, index in head:
                 endpoint = self._endpoints.all[index]
@@ -97,23 +97,23 @@
         if order is None:
             order = self._orders[key] = KeyOrder(key)
         # What changed since, with the capacity before that: until the next refresh it counts as it was.
-        before = dict(reversed(self._changes[order.journal_at :]))
+        before = dict(reversed(self._changes[order.journal_position :]))
         if order.epoch != self._epoch:
             if order.epoch >= 0:
-                self._take_in(order, before)
-            order.epoch, order.journal_at = self._epoch, len(self._changes)
+                self._apply_changes(order, before)
+            order.epoch, order.journal_position = self._epoch, len(self._changes)
             before = {}
         order.trim(_KEPT_MULTIPLE * (most + _KEPT_MORE))
-        if len(order.places) < least:
+        if len(order.entries) < least:
             table = self._endpoints
             count = min(least + _KEPT_MORE, len(table.ready))
             order.build(count, table.ready_indexes, table.id_hashes, self._capacities(before))
         return order
 
-    def _take_in(self, order: KeyOrder, before: dict[int, float]) -> None:
+    def _apply_changes(self, order: KeyOrder, before: dict[int, float]) -> None:
         table = self._endpoints
         is_ready = {index: table.all[index].state == EndpointState.READY for index in before}
-        order.take_in(before, table.id_hashes, table.capacities, is_ready)
+        order.apply_changes(before, table.id_hashes, table.capacities, is_ready)
 
     def _capacities(self, before: dict[int, float]) -> list[float]:
         """The capacity of every endpoint, by index; of some as it was before."""
--- a/dunepulley/routing/attempt_feedback.py
+++ b/dunepulley/routing/attempt_feedback.py
@@ -24,7 +24,7 @@
         run_times: RunTimes,
         start_times: StartTimes,
     ) -> None:
-        self._tells_start = settings.tells_start
+        self._tells_start = settings.reports_start
         self._progress_interval_ms = settings.progress_interval_ms
         self._load = load
         self._outliers = outliers
--- a/dunepulley/routing/endpoints.py
+++ b/dunepulley/routing/endpoints.py
@@ -46,7 +46,7 @@
     # load_estimates.py: what it reported (-1 where unknown) and when, and what others seem to hold there.
     rate: float = 0.0
     queue_length: float = 0.0
-    busy: float = 0.0
+    used_slots_mean: float = 0.0
     reported_ms: float = 0.0
     last_report: dict[str, float] | None = None
     other_slots: float = 0.0
@@ -62,8 +62,8 @@
     own_slots: float = 0.0
     connection_until_ms: float = 0.0
     # load_estimates.py: what gossip told of `own_slots`, and what dispatchers hold that tell nothing.
-    told_slots: float = 0.0
-    untold_slots: float = 0.0
+    announced_slots: float = 0.0
+    unreported_slots: float = 0.0
     # run_times.py: running times seen, and those expected for the same requests.
     observed_run_ms: float = 0.0
     expected_run_ms: float = 0.0
@@ -79,9 +79,9 @@
         """Forget what was learned: it is new, or another process has started in its place."""
         self.rate = self.queue_length = -1.0
         self.reported_ms = now
-        self.other_slots = self.busy = self.own_slots_mean = self.start_delay_ms = 0.0
+        self.other_slots = self.used_slots_mean = self.own_slots_mean = self.start_delay_ms = 0.0
         self.observed_run_ms = self.expected_run_ms = 0.0
-        self.connection_until_ms = self.slow_start_share_until_ms = self.untold_slots = 0.0
+        self.connection_until_ms = self.slow_start_share_until_ms = self.unreported_slots = 0.0
         self.error_score = self.ejected_until_ms = self.ejection_ms = self.full_until_ms = 0.0
         self.last_report = None
 
@@ -104,7 +104,7 @@
         self.ready_indexes: list[int] = []
         self._rank_keys: list[tuple[float, int]] = []
         self._fleet_rank_keys: list[tuple[float, float, int]] = []
-        self._turned: list[Endpoint] = []
+        self._state_changes: list[Endpoint] = []
         # Endpoints of a kind are built alike: the most slots and the most capacity that one was seen with.
         self.slots_by_kind: dict[str, float] = {}
         self.capacity_by_kind: dict[str, float] = {}
@@ -143,17 +143,17 @@
         endpoint.state = state
         if was_ready == (state == _READY):
             return False
-        self._turned.append(endpoint)
+        self._state_changes.append(endpoint)
         return True
 
-    def describe(self, endpoint: Endpoint, entry: EndpointEntry) -> None:
+    def set_location_and_kind(self, endpoint: Endpoint, entry: EndpointEntry) -> None:
         """Take in what the list says of an endpoint's place and kind."""
         endpoint.zone = entry.zone
         endpoint.cell = entry.cell
         endpoint.kind = entry.kind
         endpoint.slots = self.slots_by_kind.get(entry.kind, _UNKNOWN_SLOTS)
 
-    def size(self, endpoint: Endpoint, capacity: float, started_ms: float) -> None:
+    def set_capacity(self, endpoint: Endpoint, capacity: float, started_ms: float) -> None:
         """Take in an endpoint's capacity and start."""
         endpoint.capacity = self.capacities[endpoint.index] = capacity
         endpoint.started_ms = started_ms
@@ -165,14 +165,14 @@
         for endpoint in self.all:
             endpoint.slots = known.get(endpoint.kind, _UNKNOWN_SLOTS)
 
-    def inherit_slots(self) -> None:
+    def apply_known_slots(self) -> None:
         """Give each endpoint the slots of its kind, where these are known."""
         for endpoint in self.all:
             endpoint.slots = self.slots_by_kind.get(endpoint.kind, endpoint.slots)
 
     def refresh_orders(self) -> None:
         """Bring the orders of the ready endpoints up to date with those whose state has turned."""
-        turned, self._turned = self._turned, []
+        turned, self._state_changes = self._state_changes, []
         if len(turned) * _REBUILD_PART > len(self.ready):
             self._rebuild_orders()
             return
