--- a/dunepulley/routing/gossip.py
+++ b/dunepulley/routing/gossip.py
@@ -11,7 +11,7 @@
 from .endpoints import EndpointTable
 from .events import GossipReceived
 from .in_flight import InFlight
-from .load_estimates import GOSSIP_FRESH_MS, LoadEstimator
+from .load_estimates import AGGREGATE_MAX_AGE_MS, LoadEstimator
 from .outbox import Outbox
 from .request_queue import RequestQueue
 from .rng import RandomGenerator
@@ -23,7 +23,7 @@
 # Messages wait for more to go with them, and aggregators take turns of so long.
 _COLLECT_MS, _TURN_MS = 60.0, 160.0
 # A dispatcher that is silent for twice as long as sums are believed is gone.
-SILENT_MS = 2.0 * GOSSIP_FRESH_MS
+SENDER_TIMEOUT_MS = 2.0 * AGGREGATE_MAX_AGE_MS
 # A dispatcher that holds slots says so again after this part of the silence.
 _REMIND_PART = 0.4
 # Slots are counted in one byte.
@@ -63,15 +63,15 @@
         self._is_collecting, self._told_ms = False, 0.0
         # As an aggregator: what each dispatcher told last, the sums of it, and where the next message begins.
         self._holdings: dict[int, tuple[float, Holdings]] = {}
-        self._sums: dict[int, int] = {}
+        self._aggregates: dict[int, int] = {}
         self._next_entry = 0
 
     def start(self, now: float) -> None:
         """Begin to aggregate, once all others have told theirs to one that has just started."""
         if self._is_aggregator():
-            self._timers.schedule(now + SILENT_MS / 2, self._send_sums)
+            self._timers.schedule(now + SENDER_TIMEOUT_MS / 2, self._send_sums)
 
-    def slots_changed(self, now: float) -> None:
+    def schedule_announcement(self, now: float) -> None:
         """Tell soon what this dispatcher holds, with what changes until then."""
         if self.aggregators and not self._is_collecting:
             self._is_collecting = True
@@ -88,11 +88,11 @@
         return self._number in self.aggregators
 
     def _receive_sums(self, sums: Holdings, now: float) -> None:
-        self._load.sums_heard(now)
+        self._load.record_aggregates_received(now)
         for short_id, held in sums:
             endpoint = self._endpoints.by_short_id.get(short_id)
             if endpoint is not None:
-                self._load.record_sum(endpoint, held)
+                self._load.record_aggregate(endpoint, held)
         if self._queue.waiting:
             # All hear at once of an endpoint that has a slot available: they look one after the other.
             wait_ms = 2.0 * _TURN_MS * self._random.random()
@@ -103,7 +103,7 @@
         self._holdings[sender] = (now, holdings)
         for sign, entries in ((-1, before), (1, holdings)):
             for short_id, held in entries:
-                self._sums[short_id] = self._sums.get(short_id, 0) + sign * held
+                self._aggregates[short_id] = self._aggregates.get(short_id, 0) + sign * held
 
     def _send_own(self, now: float) -> None:
         """Tell the aggregators all that this dispatcher holds."""
@@ -117,17 +117,17 @@
         if held:
             # Silence would be taken for a dispatcher that is gone.
             self._told_ms = now
-            self._timers.schedule(now + _REMIND_PART * SILENT_MS, self._remind)
+            self._timers.schedule(now + _REMIND_PART * SENDER_TIMEOUT_MS, self._remind)
 
     def _own_holdings(self) -> Holdings:
         holders = sorted(self._in_flight.endpoints, key=lambda endpoint: endpoint.index)
-        self._load.own_slots_told(holders)
+        self._load.record_own_slots_announced(holders)
         return tuple(
             [(endpoint.short_id, min(_MOST_SLOTS, int(endpoint.own_slots + 0.5))) for endpoint in holders]
         )
 
     def _remind(self, now: float) -> None:
-        if now >= self._told_ms + _REMIND_PART * SILENT_MS:
+        if now >= self._told_ms + _REMIND_PART * SENDER_TIMEOUT_MS:
             self._send_own(now)
 
     def _send_sums(self, now: float) -> None:
@@ -145,17 +145,17 @@
 
     def _forget_silent(self, now: float) -> None:
         for number, (when, _) in list(self._holdings.items()):
-            if now - when > SILENT_MS:
+            if now - when > SENDER_TIMEOUT_MS:
                 self._receive_holdings(number, (), now)
                 del self._holdings[number]
 
     def _next_news(self) -> Holdings:
         """The sums that differ from what was told last, as many as a message holds."""
         # Begin further on each time, and tell the first though it has not changed, as messages may be lost.
-        sums = [(short_id, min(_MOST_SLOTS, held)) for short_id, held in self._sums.items()]
+        sums = [(short_id, min(_MOST_SLOTS, held)) for short_id, held in self._aggregates.items()]
         start = self._next_entry % max(1, len(sums))
         sums = sums[start:] + sums[:start]
-        news = sums[:1] + [each for each in sums[1:] if each[1] != self._load.sum_of(each[0])]
+        news = sums[:1] + [each for each in sums[1:] if each[1] != self._load.aggregate_of(each[0])]
         if news:
             self._next_entry += 1 if len(news) <= MAX_GOSSIP_ENTRIES else MAX_GOSSIP_ENTRIES
         return tuple(news[:MAX_GOSSIP_ENTRIES])
--- a/dunepulley/routing/health_checks.py
+++ b/dunepulley/routing/health_checks.py
@@ -40,9 +40,9 @@
         self._balance += self._earned
         if self._balance >= 1.0 and self._endpoints.ready:
             self._balance -= 1.0
-            self.ask(self._longest_unheard(), now)
+            self.send_check(self._longest_unheard(), now)
 
-    def ask(self, endpoint: Endpoint, now: float) -> None:
+    def send_check(self, endpoint: Endpoint, now: float) -> None:
         """Ask one endpoint for its load report."""
         endpoint.checked_ms = now
         self._outbox.send(CheckHealth(endpoint.endpoint_id))
--- a/dunepulley/routing/inspection.py
+++ b/dunepulley/routing/inspection.py
@@ -73,7 +73,7 @@
     if endpoint is None:
         return EndpointSlots()
     slots = _known_slots(router, endpoint, _least_slots(router))
-    warm = slots * router.warm_up.capacity_part(endpoint, router.now)
+    warm = slots * router.warm_up.capacity_fraction(endpoint, router.now)
     return EndpointSlots(slots, warm, endpoint.own_slots)
 
 
@@ -84,7 +84,7 @@
     """
     least = _least_slots(router)
     ejected, by_id = ejected_endpoints(router), router.endpoints.by_id
-    capacity_part, now = router.warm_up.capacity_part, router.now
+    capacity_fraction, now = router.warm_up.capacity_fraction, router.now
     zones: dict[str, list[float]] = {}
     for entry in ready:
         zone = zones.get(entry.zone)
@@ -99,7 +99,7 @@
         elif endpoint is not None:
             slots = _known_slots(router, endpoint, least)
             zone[2] += slots
-            zone[3] += slots * capacity_part(endpoint, now) if endpoint.started_ms > 0.0 else slots
+            zone[3] += slots * capacity_fraction(endpoint, now) if endpoint.started_ms > 0.0 else slots
     return zones
 
 
--- a/dunepulley/routing/lifecycle.py
+++ b/dunepulley/routing/lifecycle.py
@@ -19,7 +19,7 @@
 from .settings import RouterSettings
 from .slow_start import SlowStartBudget
 from .start_times import StartTimes
-from .timers import NEVER, TimerQueue
+from .timers import INFINITY, TimerQueue
 
 # A request is too late where even an endpoint twice as fast as expected could not end it in time.
 _QUICKEST_PART = 0.5
@@ -90,7 +90,7 @@
         self.requests[request.request_id] = request
         self.advance(request, Trigger.ARRIVED, now)
 
-    def look_again(self, request: Request, now: float) -> None:
+    def recheck_queued(self, request: Request, now: float) -> None:
         """Give a waiting request another look."""
         self.advance(request, Trigger.CAPACITY, now)
 
@@ -102,7 +102,7 @@
             return
         if request.state is RequestState.DISPATCHING:
             self._dispatch(request, now)
-        elif request.attempts_out:
+        elif request.attempts_in_flight:
             self._supervise(request, trigger, now)
         else:
             self._retry(request, now)
@@ -116,15 +116,15 @@
     def attempt_ended(self, request: Request, attempt: Attempt, result: str, now: float) -> None:
         """Count an attempt's end, before it is looked at what follows from it."""
         attempt.result = result
-        request.attempts_out -= 1
+        request.attempts_in_flight -= 1
         endpoint = attempt.endpoint
         self._in_flight.end(endpoint, request.slots, now)
-        self._gossip.slots_changed(now)
+        self._gossip.schedule_announcement(now)
         self._load.record_end(endpoint)
 
-    def forget_if_done(self, request: Request) -> None:
+    def remove_if_done(self, request: Request) -> None:
         """Forget a request that is answered and has no attempt out."""
-        if request.attempts_out == 0:
+        if request.attempts_in_flight == 0:
             self.requests.pop(request.request_id, None)
 
     # ---------------------------------------------------------------- states
@@ -133,7 +133,7 @@
         """Send a request to an endpoint, let it wait, or answer it."""
         if self._is_too_late(request, now):
             # Late it would take the slot of one that can still be in time.
-            self.answer(request)
+            self.reject_or_fail(request)
             return
         endpoint = self._selector.next_in_turn(request, now)
         if endpoint is None:
@@ -142,7 +142,7 @@
             self._queue.add(request)
             self._set_timer(request, min(request.latest_start_ms, request.deadline_ms))
         elif endpoint is None or not self.may_attempt(request, endpoint, now):
-            self.answer(request)
+            self.reject_or_fail(request)
         else:
             self._start_attempt(request, endpoint, now)
             self._wait_for_start(request, now)
@@ -152,7 +152,7 @@
         error_ms = _QUEUE_ERROR_PART * self._classes.mean_slot_ms
         if now >= request.latest_start_ms:
             limit_ms = error_ms + request.due_ms - now - _QUICKEST_PART * request.expected_ms
-        elif (self._reports.reports_queue or self._load.has_sums(now)) and not request.is_over_quota:
+        elif (self._reports.reports_queue or self._load.has_aggregates(now)) and not request.is_over_quota:
             limit_ms = error_ms + _QUEUE_PART * (request.latest_start_ms - now)
         else:
             return None
@@ -161,11 +161,11 @@
     def _supervise(self, request: Request, trigger: Trigger, now: float) -> None:
         """Look at a request with attempts out."""
         if trigger is Trigger.TIMER and now > request.deadline_ms:
-            self.answer(request)
+            self.reject_or_fail(request)
         elif trigger is Trigger.ATTEMPT_STARTED:
             self._cancel_all_but_first_started(request)
-            self._wait(request, NEVER)
-        elif trigger is Trigger.TIMER and self._reports.tells_start and not _has_started(request):
+            self._wait(request, INFINITY)
+        elif trigger is Trigger.TIMER and self._reports.reports_start and not _has_started(request):
             self._move_if_late(request, now)
         else:
             self._wait_for_start(request, now)
@@ -183,15 +183,15 @@
         attempt = request.unfinished_attempts()[-1]
         waited_ms = now - attempt.sent_ms
         self._load.record_waiting(attempt.endpoint, waited_ms)
-        is_alone = request.attempts_out == 1 and self._limits.can_cancel
+        is_alone = request.attempts_in_flight == 1 and self._limits.can_cancel
         if is_alone and self._is_too_late(request, now) and self._retry_policy.client_may_retry(request):
             # It could only end late now, and keep what stands behind it from ending in time.
-            self.answer(request)
+            self.reject_or_fail(request)
             return
         self._load.mark_full(attempt.endpoint, now)
         slack_ms = _SLACK_PART * (request.latest_start_ms - attempt.sent_ms)
         is_late = waited_ms >= slack_ms and waited_ms >= self._start_times.grace_ms(attempt.path)
-        if is_late and self._retry_budget.affords(request):
+        if is_late and self._retry_budget.can_afford(request):
             other = self._selector.next_in_turn(request, now, excluded=attempt.endpoint)
             if other is not None and self._limits.hedging:
                 if self.may_attempt(request, other, now):
@@ -204,11 +204,11 @@
 
     def _retry(self, request: Request, now: float) -> None:
         """No attempt is out and none completed: try again or, if that may not be, answer at once."""
-        is_worth_it = self._retry_budget.affords(request) and now < request.deadline_ms
+        is_worth_it = self._retry_budget.can_afford(request) and now < request.deadline_ms
         if is_worth_it and self._retry_policy.may_retry(request, now):
             self._dispatch(request, now)
         else:
-            self.answer(request)
+            self.reject_or_fail(request)
 
     # ---------------------------------------------------------------- attempts
 
@@ -219,9 +219,9 @@
             or len(request.attempts) >= self._limits.max_attempts
             or now >= request.deadline_ms
         )
-        if is_over or endpoint.state != _READY or (request.attempts_out and not self._limits.hedging):
+        if is_over or endpoint.state != _READY or (request.attempts_in_flight and not self._limits.hedging):
             return False
-        return self._retry_policy.may_attempt_at(request, endpoint, now) and self._slow_start.has_room(
+        return self._retry_policy.may_attempt_at(request, endpoint, now) and self._slow_start.allows_attempt(
             request, endpoint, now
         )
 
@@ -233,12 +233,12 @@
         path = (endpoint.zone, now < endpoint.connection_until_ms)
         # Where starts are not told, only an attempt at an available slot tells how long a request runs.
         held = endpoint.own_slots + endpoint.other_slots + request.slots
-        is_measurable = self._reports.tells_start or held <= endpoint.slots + _ROOM_DOUBT
+        is_measurable = self._reports.reports_start or held <= endpoint.slots + _ROOM_DOUBT
         request.attempts.append(Attempt(endpoint, path, now, is_measurable))
-        request.attempts_out += 1
+        request.attempts_in_flight += 1
         request.move_to(RequestState.IN_FLIGHT)
         self._in_flight.start(endpoint, request.slots)
-        self._gossip.slots_changed(now)
+        self._gossip.schedule_announcement(now)
         self._slow_start.record_attempt(request, endpoint, now)
         self._outbox.send(
             StartAttempt(request.request_id, endpoint.endpoint_id, request.deadline_ms - now, start_within_ms)
@@ -250,7 +250,7 @@
 
     # ---------------------------------------------------------------- the final answer
 
-    def answer(self, request: Request) -> None:
+    def reject_or_fail(self, request: Request) -> None:
         """Give up: reject where a retry by the client is harmless, else fail."""
         if self._retry_policy.client_may_retry(request):
             # Long enough for a slot to come available; clients that heed it don't crowd a full fleet.
@@ -268,15 +268,15 @@
         for number, attempt in enumerate(request.attempts):
             if not attempt.result:
                 self._cancel(request, number)
-        self.forget_if_done(request)
+        self.remove_if_done(request)
 
     # ---------------------------------------------------------------- timers
 
     def _wait_for_start(self, request: Request, now: float) -> None:
         """Look again when the last attempt ought to have started."""
         # Only where starts are told: a look that sees nothing would come again at once, for ever.
-        if _has_started(request) or not self._reports.tells_start:
-            self._wait(request, NEVER)
+        if _has_started(request) or not self._reports.reports_start:
+            self._wait(request, INFINITY)
             return
         attempt = request.unfinished_attempts()[-1]
         grace_ms = self._start_times.grace_ms(attempt.path)
--- a/dunepulley/routing/list_updates.py
+++ b/dunepulley/routing/list_updates.py
@@ -70,7 +70,7 @@
         if started or is_whole or self._endpoints.ready != before:
             self._affinity.refresh()
             self.choose_subset(now)
-        self._queue.wake()
+        self._queue.mark_capacity_changed()
 
     def choose_subset(self, now: float) -> None:
         """Choose anew which endpoints are in use, and which pools they are in."""
@@ -93,16 +93,16 @@
     def _apply_entry(self, entry: EndpointEntry, now: float) -> Endpoint | None:
         """Take in one entry; returns the endpoint if it is new or has started again."""
         endpoint, is_known = self._find_or_add(entry, now)
-        self._endpoints.describe(endpoint, entry)
+        self._endpoints.set_location_and_kind(endpoint, entry)
         self._run_times.add_kind(entry.kind)
         self._set_state(endpoint, entry.state)
         capacity = entry.capacity if 0.0 < entry.capacity < _MOST_CAPACITY else _USUAL_CAPACITY
         if self._capacity_is_live:
             capacity = self._full_capacity(endpoint, capacity, is_known, now)
         if capacity != endpoint.capacity:
-            self._affinity.endpoint_changes(endpoint)
-        self._endpoints.size(endpoint, capacity, entry.started_ms)
-        self._warm_up.watch(endpoint, now)
+            self._affinity.record_endpoint_change(endpoint)
+        self._endpoints.set_capacity(endpoint, capacity, entry.started_ms)
+        self._warm_up.track(endpoint, now)
         return None if is_known else endpoint
 
     def _find_or_add(self, entry: EndpointEntry, now: float) -> tuple[Endpoint, bool]:
@@ -129,4 +129,4 @@
             return
         if state == EndpointState.READY:
             self._health_checks.add(endpoint)
-        self._affinity.endpoint_changes(endpoint)
+        self._affinity.record_endpoint_change(endpoint)
--- a/dunepulley/routing/load_estimates.py
+++ b/dunepulley/routing/load_estimates.py
@@ -12,7 +12,7 @@
 from .request_queue import RequestQueue
 from .settings import RouterSettings
 from .size_classes import SizeClasses
-from .timers import NEVER, TimerQueue
+from .timers import INFINITY, TimerQueue
 from .warm_up import WarmUp
 
 # How often estimates fade: often enough to do so within a report's usual age of a second or two. A large
@@ -21,7 +21,7 @@
 # What is kept at each fade of the mean of own slots, and of what is believed of others.
 _OWN_KEPT, _OTHERS_KEPT = 0.75, 0.9
 # Sums of gossip are believed for so long.
-GOSSIP_FRESH_MS = 2000.0
+AGGREGATE_MAX_AGE_MS = 2000.0
 # A busy endpoint frees a slot each fifth of a second.
 _FULL_MS = 200.0
 # An endpoint that rejects has a whole queue, of which no report need tell: so many times its slots.
@@ -64,9 +64,9 @@
         self._size_classes = size_classes
         self._warm_up = warm_up
         self._timers = timers
-        self._sums_heard_ms = -NEVER
-        self._sums: dict[int, int] = {}
-        self._told: list[Endpoint] = []
+        self._aggregates_received_ms = -INFINITY
+        self._aggregates: dict[int, int] = {}
+        self._announced: list[Endpoint] = []
 
     # ---------------------------------------------------------------- load reports
 
@@ -83,7 +83,7 @@
         available = report.get("x0")
         if available is not None and 0.0 <= available < _MOST_SLOTS:
             self._record_available(endpoint, available, now)
-            self._queue.wake()
+            self._queue.mark_capacity_changed()
         endpoint.reported_ms = now
 
     def _record_available(self, endpoint: Endpoint, available: float, now: float) -> None:
@@ -92,11 +92,11 @@
             # Endpoints of a kind are built alike: the most that was ever available is what they have.
             self._endpoints.raise_slots(endpoint.kind, float(round(available)))
         used = max(0.0, endpoint.slots - available) + max(0.0, endpoint.queue_length)
-        endpoint.busy = 0.5 * (endpoint.busy + used)
-        if self.has_sums(now):
+        endpoint.used_slots_mean = 0.5 * (endpoint.used_slots_mean + used)
+        if self.has_aggregates(now):
             # What is used beyond what was told belongs to dispatchers that tell nothing.
-            told = self.sum_of(endpoint.short_id)
-            endpoint.untold_slots += 0.3 * (used - told - endpoint.untold_slots)
+            told = self.aggregate_of(endpoint.short_id)
+            endpoint.unreported_slots += 0.3 * (used - told - endpoint.unreported_slots)
             return
         # It is some way behind: compare it with what was out there lately.
         least = _ASKED_REPORT_PART if endpoint.checked_ms > endpoint.reported_ms else _REPORT_PART
@@ -105,38 +105,38 @@
 
     def record_live_capacity(self, endpoint: Endpoint, part: float, is_known: bool, now: float) -> None:
         """Take in a list that tells capacity less load: `part` is the full capacity over the listed one."""
-        if is_known and not self.has_sums(now):
+        if is_known and not self.has_aggregates(now):
             used = min(_MOST_LIVE_MULTIPLE, part - 1.0) * endpoint.slots
             endpoint.other_slots += _LIVE_PART * (used - endpoint.own_slots_mean - endpoint.other_slots)
         endpoint.reported_ms = now
 
     # ---------------------------------------------------------------- gossip
 
-    def has_sums(self, now: float) -> bool:
+    def has_aggregates(self, now: float) -> bool:
         """Whether gossip tells what is held at each endpoint."""
-        return now - self._sums_heard_ms < GOSSIP_FRESH_MS
+        return now - self._aggregates_received_ms < AGGREGATE_MAX_AGE_MS
 
-    def sums_heard(self, now: float) -> None:
+    def record_aggregates_received(self, now: float) -> None:
         """Take in that a message with sums has come."""
-        self._sums_heard_ms = now
+        self._aggregates_received_ms = now
 
-    def sum_of(self, short_id: int) -> int:
+    def aggregate_of(self, short_id: int) -> int:
         """The slots that all dispatchers together were last told to hold at an endpoint."""
-        return self._sums.get(short_id, 0)
+        return self._aggregates.get(short_id, 0)
 
-    def record_sum(self, endpoint: Endpoint, held: int) -> None:
+    def record_aggregate(self, endpoint: Endpoint, held: int) -> None:
         """Take in the slots that all dispatchers together hold at an endpoint."""
-        self._sums[endpoint.short_id] = held
-        others = max(0.0, held - endpoint.told_slots)
-        endpoint.other_slots = others + max(0.0, endpoint.untold_slots)
+        self._aggregates[endpoint.short_id] = held
+        others = max(0.0, held - endpoint.announced_slots)
+        endpoint.other_slots = others + max(0.0, endpoint.unreported_slots)
 
-    def own_slots_told(self, holders: list[Endpoint]) -> None:
+    def record_own_slots_announced(self, holders: list[Endpoint]) -> None:
         """Take in that the slots which this dispatcher holds now were told to the aggregators."""
-        for endpoint in self._told:
-            endpoint.told_slots = 0.0
+        for endpoint in self._announced:
+            endpoint.announced_slots = 0.0
         for endpoint in holders:
-            endpoint.told_slots = endpoint.own_slots
-        self._told = holders
+            endpoint.announced_slots = endpoint.own_slots
+        self._announced = holders
 
     # ---------------------------------------------------------------- what becomes of requests
 
@@ -153,7 +153,7 @@
     def record_end(self, endpoint: Endpoint) -> None:
         """An attempt has ended there: a slot may be available again."""
         endpoint.full_until_ms = 0.0
-        self._queue.wake()
+        self._queue.mark_capacity_changed()
 
     def record_start_delay(self, endpoint: Endpoint, delay_ms: float) -> None:
         """A request waited there so long before it was started."""
@@ -165,16 +165,16 @@
 
     # ---------------------------------------------------------------- fading
 
-    def fade(self, now: float) -> None:
+    def decay(self, now: float) -> None:
         """Believe less of what is old: estimates fade to the mean of all endpoints."""
         ready = self._endpoints.ready
         steps = max(1.0, len(ready) / _FADE_ENDPOINTS)
-        self._timers.schedule(now + steps * _FADE_MS, self.fade)
+        self._timers.schedule(now + steps * _FADE_MS, self.decay)
         cold, means = self._mean_loads(ready, now)
         # Not where dispatchers outnumber endpoints: all would crowd the same slot. Nor where news is thin.
         asks = self._asks_full and self._dispatcher_count <= len(ready) and not self._size_classes.pools
         # Where the list tells what is held, what it does not tell anew has not changed.
-        fades = not self._capacity_is_live and not self.has_sums(now)
+        fades = not self._capacity_is_live and not self.has_aggregates(now)
         own_part, others_part = 1.0 - _OWN_KEPT**steps, 1.0 - _OTHERS_KEPT**steps
         for endpoint in ready:
             own_slots = endpoint.own_slots
@@ -185,20 +185,20 @@
             if fades and now - endpoint.reported_ms > _FADE_MS:
                 mean = means[endpoint.index in cold] * endpoint.slots
                 endpoint.other_slots += others_part * (mean - endpoint.other_slots)
-        self._queue.wake()
+        self._queue.mark_capacity_changed()
 
     def _mean_loads(self, ready: list[Endpoint], now: float) -> tuple[set[int], list[float]]:
         """With size classes the cold endpoints, by index; the load of a slot at warm and at cold ones."""
         # The slow-start budget bounds what others hold at a cold endpoint, whatever stands at the warm ones.
         cold: set[int] = set()
         if self._size_classes.pools:
-            cold = {endpoint.index for endpoint in ready if self._warm_up.is_cold(endpoint, now)}
+            cold = {endpoint.index for endpoint in ready if self._warm_up.is_warming_up(endpoint, now)}
         if self._is_stuck(ready, now):
             return cold, [0.0, 0.0]
         means = []
         warm_endpoints = [endpoint for endpoint in ready if endpoint.index not in cold]
-        cold_endpoints = [self._endpoints.all[index] for index in cold]
-        for some in (warm_endpoints, cold_endpoints):
+        warming_endpoints = [self._endpoints.all[index] for index in cold]
+        for some in (warm_endpoints, warming_endpoints):
             slots = sum([endpoint.slots for endpoint in some])
             means.append(sum([endpoint.other_slots for endpoint in some]) / (slots or 1.0))
         return cold, means
@@ -212,4 +212,4 @@
     def _ask_full(self, endpoint: Endpoint, now: float) -> None:
         """Ask an endpoint that is believed to be full, now and then."""
         if now - max(endpoint.reported_ms, endpoint.checked_ms) > _ASK_FULL_MS:
-            self._health_checks.ask(endpoint, now)
+            self._health_checks.send_check(endpoint, now)
--- a/dunepulley/routing/rendezvous.py
+++ b/dunepulley/routing/rendezvous.py
@@ -28,35 +28,35 @@
     return (hashed * _FOLDED_MULTIPLIER + _FOLDED_INCREMENT & _MASK) >> 32
 
 
-def part_of(hashed: int) -> float:
+def unit_fraction(hashed: int) -> float:
     """A number in [0, 1) for a hash."""
     return mixed_bits(hashed) / _RANGE
 
 
 def rank_of(dispatcher: str, endpoint_id: str) -> float:
     """Where a dispatcher ranks an endpoint, in [0, 1): the lower, the higher it ranks."""
-    return part_of(fnv1a_64(f"{dispatcher}/{endpoint_id}"))
+    return unit_fraction(fnv1a_64(f"{dispatcher}/{endpoint_id}"))
 
 
 class KeyOrder:
     """The head of the order of endpoints for one key: all whose weight is at most `bound`."""
 
     def __init__(self, key: str) -> None:
-        self.hashed = fnv1a_64(key)
-        self.places: list[tuple[float, int]] = []
+        self.key_hash = fnv1a_64(key)
+        self.entries: list[tuple[float, int]] = []
         self.bound = 0.0
         # How far the caller's journal of changes has been taken in, and in which of its epochs.
-        self.journal_at, self.epoch = 0, -1
+        self.journal_position, self.epoch = 0, -1
 
     def weight(self, endpoint_hash: int, units: float) -> float:
         """The endpoint's weight for the key: the lower, the higher it ranks."""
-        return -log(part_of(self.hashed ^ endpoint_hash) + 1e-12) / units
+        return -log(unit_fraction(self.key_hash ^ endpoint_hash) + 1e-12) / units
 
     def build(
         self, least: int, endpoints: Sequence[int], hashes: Sequence[int], units: Sequence[float]
     ) -> None:
         """Weigh the endpoints (indexes into `hashes` and `units`) anew; keep at least so many of them."""
-        own = self.hashed
+        own = self.key_hash
         # Of all, also those that are not asked about: a guess, and a limit, are enough.
         total, largest = sum(units), max(units, default=1.0)
         # Among many, the weights below w number about w times the sum of units.
@@ -70,30 +70,30 @@
                 if (bits := (own ^ hashes[i]) * _FOLDED_MULTIPLIER + _FOLDED_INCREMENT & _MASK) >= floor
             ]
             weighed = [(-log((bits >> 32) / _RANGE + 1e-12) / units[i], i) for bits, i in near]
-            self.places = sorted([place for place in weighed if place[0] <= self.bound])
-            if len(self.places) >= least or self.bound == inf:
+            self.entries = sorted([place for place in weighed if place[0] <= self.bound])
+            if len(self.entries) >= least or self.bound == inf:
                 return
             self.bound *= 2.0
 
     def trim(self, count: int) -> None:
         """Forget all but the first so many."""
-        if count < len(self.places):
-            self.bound = self.places[count - 1][0]
-            del self.places[bisect_right(self.places, (self.bound, inf)) :]
+        if count < len(self.entries):
+            self.bound = self.entries[count - 1][0]
+            del self.entries[bisect_right(self.entries, (self.bound, inf)) :]
 
     def change(self, i: int, endpoint_hash: int, old_units: float, new_units: float) -> None:
         """Take in that an endpoint has other units, has come (`old_units` 0) or gone (`new_units` 0)."""
         if old_units > 0.0:
             place = (self.weight(endpoint_hash, old_units), i)
-            at = bisect_left(self.places, place)
-            if at < len(self.places) and self.places[at] == place:
-                del self.places[at]
+            at = bisect_left(self.entries, place)
+            if at < len(self.entries) and self.entries[at] == place:
+                del self.entries[at]
         if new_units > 0.0:
             weight = self.weight(endpoint_hash, new_units)
             if weight <= self.bound:
-                insort(self.places, (weight, i))
+                insort(self.entries, (weight, i))
 
-    def take_in(
+    def apply_changes(
         self,
         changed: Mapping[int, float],
         hashes: Sequence[int],
--- a/dunepulley/routing/request.py
+++ b/dunepulley/routing/request.py
@@ -56,7 +56,7 @@
     def __init__(self, settings: RequestClassSettings) -> None:
         self.settings = settings
         # The timeout that clients give a first request, and the part of the last five or so that had it.
-        self.first_timeout_ms, self.steady_clients = 0.0, 1.0
+        self.first_timeout_ms, self.fixed_timeout_fraction = 0.0, 1.0
         self.run_sum, self.run_count = settings.deadline_ms / _RUN_GUESS_DEADLINES, 1.0
 
     def mean_run_ms(self) -> float:
@@ -129,7 +129,7 @@
     priority: float
     is_over_quota: bool
     attempts: list[Attempt] = field(default_factory=list)
-    attempts_out: int = 0
+    attempts_in_flight: int = 0
     state: RequestState = RequestState.DISPATCHING
     # A timer that was set in an earlier generation is void.
     generation: int = 0
--- a/dunepulley/routing/request_queue.py
+++ b/dunepulley/routing/request_queue.py
@@ -23,7 +23,7 @@
         """Say what gives a waiting request another look; `serve` calls it."""
         self._advance = advance
 
-    def wake(self) -> None:
+    def mark_capacity_changed(self) -> None:
         """Take in that slots may have come available: the queue is served at the end of the batch."""
         self.capacity_changed = True
 
@@ -38,7 +38,7 @@
             self.waiting.remove(request)
             request.move_to(RequestState.DISPATCHING)
 
-    def serve_if_woken(self, now: float) -> None:
+    def serve_if_capacity_changed(self, now: float) -> None:
         """Serve the queue where slots may have come available since it was served last."""
         if self.waiting and self.capacity_changed:
             self.serve(now)
--- a/dunepulley/routing/retries.py
+++ b/dunepulley/routing/retries.py
@@ -7,7 +7,7 @@
 from .request import Request, RequestClasses
 from .settings import Idempotency, KeyScope, RouterSettings
 from .size_classes import SizeClasses
-from .timers import NEVER
+from .timers import INFINITY
 
 # Of a key's window so much is left unused, as attempts take a while to arrive; and no less than a process may
 # be held up between reading its clock and writing.
@@ -60,10 +60,10 @@
         """Until when the attempts that may have run are surely remembered, by their idempotency key."""
         settings = request.request_class.settings
         if settings.idempotency != Idempotency.KEYED:
-            return NEVER
+            return INFINITY
         margin = max(_WINDOW_MARGIN * settings.key_window_ms, _LONGEST_PAUSE_MS)
         sent = [attempt.sent_ms for attempt in request.attempts if attempt.result not in NOT_EXECUTED]
-        return min(sent, default=NEVER) + settings.key_window_ms - margin
+        return min(sent, default=INFINITY) + settings.key_window_ms - margin
 
     def client_may_retry(self, request: Request) -> bool:
         """Whether the client may send the request anew without an effect that happens twice."""
@@ -122,7 +122,7 @@
         """Count a request that has come in."""
         self.balance = min(_MOST_BALANCE, self.balance + self._earned * self.success_rate)
 
-    def affords(self, request: Request) -> bool:
+    def can_afford(self, request: Request) -> bool:
         """Whether one more attempt is allowed and paid for."""
         return len(request.attempts) < self._max_attempts and self.balance >= self._cost(request)
 
--- a/dunepulley/routing/router.py
+++ b/dunepulley/routing/router.py
@@ -170,7 +170,7 @@
             self.timers,
             self.outbox,
         )
-        self.queue.connect(self.lifecycle.look_again)
+        self.queue.connect(self.lifecycle.recheck_queued)
         self.feedback = AttemptFeedback(
             settings.reports, self.load, self.outliers, self.run_times, self.start_times
         )
@@ -179,7 +179,7 @@
         """Begin what is done every now and then."""
         # Anywhere in the period, so that dispatchers started together don't steer in step.
         self.timers.schedule(now + self.random.random() * CONTROL_PERIOD_MS, self._control_period)
-        self.timers.schedule(now, self.load.fade)
+        self.timers.schedule(now, self.load.decay)
         self.gossip.start(now)
 
     @property
@@ -197,7 +197,7 @@
         for event in events:
             _HANDLERS[type(event)](self, event)
         self.timers.run_due(now)
-        self.queue.serve_if_woken(now)
+        self.queue.serve_if_capacity_changed(now)
         alarm_ms = self.timers.next_alarm()
         if alarm_ms is not None:
             commands.append(SetTimer(alarm_ms - now, self.timers.token))
@@ -206,7 +206,7 @@
     def _control_period(self, now: float) -> None:
         """The design's step, and what goes by the traffic of the period."""
         self.timers.schedule(now + CONTROL_PERIOD_MS, self._control_period)
-        self.queue.wake()
+        self.queue.mark_capacity_changed()
         self.subset.measure_traffic(CONTROL_PERIOD_MS)
         self.list_updates.choose_subset(now)
         self.weights.update(now)
@@ -258,7 +258,7 @@
             self.outbox.send(Fail(request.request_id))
             lifecycle.close(request)
         if request.is_answered:
-            lifecycle.forget_if_done(request)
+            lifecycle.remove_if_done(request)
         else:
             lifecycle.advance(request, Trigger.ATTEMPT_ENDED, self.now)
 
@@ -281,7 +281,7 @@
         self.slow_start.assign(event.assigned, self.now)
 
     def _on_timer(self, event: TimerFired) -> None:
-        self.timers.alarm_rang(event.token)
+        self.timers.alarm_fired(event.token)
 
     def _find_attempt(self, request_id: str, number: int) -> tuple[Request, Attempt] | None:
         """A request and its attempt of this number, if that is out."""
--- a/dunepulley/routing/run_times.py
+++ b/dunepulley/routing/run_times.py
@@ -55,7 +55,7 @@
         if self._size_classes.pools:
             slowness = self.kind_slowness(endpoint)
             if endpoint in self._warm_up.candidates:
-                return slowness / self._warm_up.capacity_part(endpoint, now)
+                return slowness / self._warm_up.capacity_fraction(endpoint, now)
             return slowness
         if endpoint.expected_run_ms:
             return endpoint.observed_run_ms / endpoint.expected_run_ms
--- a/dunepulley/routing/selection.py
+++ b/dunepulley/routing/selection.py
@@ -17,7 +17,7 @@
 from .size_classes import SizeClasses
 from .slow_start import SlowStartBudget
 from .subset import EndpointSubset
-from .timers import NEVER
+from .timers import INFINITY
 from .warm_up import WarmUp
 
 # What speaks against an endpoint: half a slot of doubt, likely too slow, a path that costs. The least of the
@@ -130,16 +130,16 @@
         # The turn to send a cold endpoint something comes seldom, and if all let it pass, it stays cold.
         # Beyond the pool beside its own a request would stand among others' work, or others behind it.
         left_ms = _COLD_PART * (request.due_ms - now)
-        cold = [each for each in self._subset.cold_in_use if self._warm_up.is_cold(each, now)]
+        cold = [each for each in self._subset.warming_in_use if self._warm_up.is_warming_up(each, now)]
         cold = [each for each in cold if request.expected_ms * self._run_times.slowness(each, now) <= left_ms]
         return [cold, *self._size_classes.nearest_pools(request.size_class)]
 
     def _best_of(self, group: list[Endpoint], search: _Search) -> Endpoint | None:
         """The next endpoint in turn that has room for the request, among those with the least penalty."""
         request, now, excluded = search.request, search.now, search.excluded
-        best, best_turn, best_penalty = None, NEVER, _MOST_PENALTY
+        best, best_turn, best_penalty = None, INFINITY, _MOST_PENALTY
         # Own zone first unsettles the turns, so only where all are in use: a few hold too little of it.
-        near = self._prefers_own_zone and self._subset.is_whole()
+        near = self._prefers_own_zone and self._subset.includes_all()
         kept, zone, wanted = self._prefers_open, self._zone, request.slots
         least = self._least_penalty(search)
         # Whether none later in turn can beat the best, nor any over a costly path; and none that is both.
@@ -202,4 +202,4 @@
             return False
         if not is_in_group(request, endpoint, search.allowed_group):
             return False
-        return endpoint.started_ms <= 0.0 or self._slow_start.has_room(request, endpoint, now)
+        return endpoint.started_ms <= 0.0 or self._slow_start.allows_attempt(request, endpoint, now)
--- a/dunepulley/routing/settings.py
+++ b/dunepulley/routing/settings.py
@@ -128,7 +128,7 @@
     # The price of a health check, as a part of a request's worth.
     health_check_price: float = 0.0
     # Whether endpoints tell at once that they have started a request, and else how often they tell progress.
-    tells_start: bool = False
+    reports_start: bool = False
     progress_interval_ms: float = 0.0
 
 
@@ -144,7 +144,7 @@
     tenant_shares: Mapping[str, float]
     over_quota_factor: float
     # Whether requests are paid by their work rather than each alike.
-    paid_by_work: bool
+    value_scales_with_work: bool
     clients_mark_retries: bool
     dispatcher_count: float
     dispatcher_number: int
@@ -178,7 +178,7 @@
                 for number in range(int(get("parties.count", 0)))
             },
             over_quota_factor=get("overagePayoff", 1.0),
-            paid_by_work=get("payoffBy", "request") == "work",
+            value_scales_with_work=get("payoffBy", "request") == "work",
             clients_mark_retries=bool(get("clients.marksRetry", False)),
             dispatcher_count=max(1.0, get("balancers", 1.0)),
             dispatcher_number=int(get("me", 0)),
@@ -221,6 +221,6 @@
         reports_queue="queue" in as_tuple(get("reporting.fields")),
         can_check_health=bool(get("policyLimits.probing", False)),
         health_check_price=get("prices.probe", 0.0),
-        tells_start=bool(get("familyInfo.tellsStart", False)),
+        reports_start=bool(get("familyInfo.tellsStart", False)),
         progress_interval_ms=get("familyInfo.progressMs", 0.0),
     )
--- a/dunepulley/routing/size_classes.py
+++ b/dunepulley/routing/size_classes.py
@@ -90,7 +90,7 @@
         if not is_thin or len(self._endpoints.ready) < _MIN_POOL_SIZE * POOL_COUNT:
             self.pools = []
             return
-        parts = {endpoint: self._warm_up.capacity_part(endpoint, now) for endpoint in cold}
+        parts = {endpoint: self._warm_up.capacity_fraction(endpoint, now) for endpoint in cold}
         order = self._endpoints.by_fleet_rank
         capacities = _effective_capacities(order, parts)
         total = sum(_effective_capacities(self._endpoints.by_rank, parts))
@@ -111,7 +111,7 @@
         have all connections used twice within their idle time, and each endpoint used by several dispatchers.
         """
         shared = _MIN_HOLDERS * len(pool) / self._dispatcher_count
-        most = max(MIN_SUBSET, self._subset.wanted / (2 * POOL_COUNT), shared)
+        most = max(MIN_SUBSET, self._subset.target_size / (2 * POOL_COUNT), shared)
         if len(pool) <= most:
             return pool
         # Ranks are spread evenly over [0, 1).
--- a/dunepulley/routing/slow_start.py
+++ b/dunepulley/routing/slow_start.py
@@ -13,7 +13,7 @@
 from .run_times import RunTimes
 from .settings import RouterSettings
 from .size_classes import SizeClasses
-from .timers import NEVER
+from .timers import INFINITY
 from .warm_up import WarmUp
 
 # A turn to send a cold endpoint something lasts so many windows; the first goes by unused, so that no window
@@ -62,11 +62,11 @@
         # What each endpoint was sent within the last window, as (when, load in slot-ms).
         self._sent: dict[Endpoint, deque[tuple[float, float]]] = {}
 
-    def assign(self, is_ours: bool, now: float) -> None:
+    def assign(self, owns_budget: bool, now: float) -> None:
         """Take in whether this process, or another of the same dispatcher, may spend the share."""
-        self._allowed_from_ms = now + self._window_ms if is_ours else NEVER
+        self._allowed_from_ms = now + self._window_ms if owns_budget else INFINITY
 
-    def load_of(self, request: Request, endpoint: Endpoint, now: float) -> float:
+    def expected_load(self, request: Request, endpoint: Endpoint, now: float) -> float:
         """The slot-ms that a request is expected to take at an endpoint."""
         if self._size_classes.pools:
             return request.slots * request.expected_ms * self._run_times.kind_slowness(endpoint)
@@ -74,14 +74,14 @@
 
     def record_attempt(self, request: Request, endpoint: Endpoint, now: float) -> None:
         """Count what an endpoint is sent; also a warm one, which may turn out to have started anew."""
-        load = self.load_of(request, endpoint, now)
+        load = self.expected_load(request, endpoint, now)
         sent = self._sent.setdefault(endpoint, deque())
         self._forget_before_window(sent, now)
         sent.append((now, load))
 
-    def has_room(self, request: Request, endpoint: Endpoint, now: float) -> bool:
+    def allows_attempt(self, request: Request, endpoint: Endpoint, now: float) -> bool:
         """Whether an attempt keeps to this dispatcher's share within any window."""
-        if not self._warm_up.is_cold(endpoint, now):
+        if not self._warm_up.is_warming_up(endpoint, now):
             return True
         window_ms = self._window_ms
         if now >= endpoint.slow_start_share_until_ms:
@@ -93,7 +93,7 @@
             return False
         sent = self._sent.get(endpoint, deque())
         self._forget_before_window(sent, now)
-        return sum([load for _, load in sent]) + self.load_of(request, endpoint, now) <= (
+        return sum([load for _, load in sent]) + self.expected_load(request, endpoint, now) <= (
             endpoint.slow_start_share
         )
 
--- a/dunepulley/routing/subset.py
+++ b/dunepulley/routing/subset.py
@@ -27,10 +27,10 @@
         self.arrivals, self._counted_arrivals = 0, 0
         self.arrivals_per_endpoint_s = 0.0
         # How many endpoints the traffic keeps connected.
-        self.wanted = 0.0
+        self.target_size = 0.0
         # By index, and those of them that were warming up when chosen.
         self.in_use: list[Endpoint] = []
-        self.cold_in_use: list[Endpoint] = []
+        self.warming_in_use: list[Endpoint] = []
         # Worked out when asked for.
         self._standby: list[Endpoint] | None = None
 
@@ -45,26 +45,26 @@
         self.arrivals_per_endpoint_s = arrived * 1000.0 / period_ms / max(1, len(self._endpoints.ready))
         # What comes within the idle time of a connection finds it open.
         wanted = arrived * self._idle_ms / period_ms
-        self.wanted = max(wanted, self.wanted + _SHRINK_PART * (wanted - self.wanted))
+        self.target_size = max(wanted, self.target_size + _SHRINK_PART * (wanted - self.target_size))
 
     def choose(self, now: float) -> list[Endpoint]:
         """Choose the endpoints in use; returns the ready ones that are warming up."""
-        most = max(_MIN_IN_USE, int(self.wanted))
+        most = max(_MIN_IN_USE, int(self.target_size))
         # An ejected endpoint does not count: the next in rank stands in.
         available = (each for each in self._endpoints.by_rank if now >= each.ejected_until_ms)
         chosen = set(islice(available, most))
         # A cold endpoint is in use by all dispatchers: its budget goes round among them.
-        cold = self._warm_up.cold_endpoints(now)
+        cold = self._warm_up.warming_endpoints(now)
         chosen.update([each for each in cold if now >= each.ejected_until_ms])
         if len(chosen) == len(self._endpoints.ready):
             self.in_use = self._endpoints.ready.copy()
         else:
             self.in_use = sorted(chosen, key=lambda each: each.index)
-        self.cold_in_use = [each for each in cold if each in chosen]
+        self.warming_in_use = [each for each in cold if each in chosen]
         self._standby = None
         return cold
 
-    def is_whole(self) -> bool:
+    def includes_all(self) -> bool:
         """Whether all ready endpoints are in use."""
         return len(self.in_use) == len(self._endpoints.ready)
 
--- a/dunepulley/routing/timers.py
+++ b/dunepulley/routing/timers.py
@@ -6,7 +6,7 @@
 from heapq import heappop, heappush
 from typing import NamedTuple
 
-NEVER = float("inf")
+INFINITY = float("inf")
 
 # Takes the time in ms at which it is called.
 Action = Callable[[float], None]
@@ -26,8 +26,8 @@
     def __init__(self) -> None:
         self.entries: list[Timer] = []
         self._sequence = 0
-        # When the alarm that was asked for last is to ring, and its token; `NEVER` once it has rung.
-        self.alarm_at_ms = NEVER
+        # When the alarm that was asked for last is to ring, and its token; `INFINITY` once it has rung.
+        self.alarm_at_ms = INFINITY
         self.token = 0
 
     def schedule(self, due_ms: float, action: Action) -> None:
@@ -41,10 +41,10 @@
         while entries and entries[0][0] <= now:
             heappop(entries).action(now)
 
-    def alarm_rang(self, token: int) -> None:
+    def alarm_fired(self, token: int) -> None:
         """Take in that an alarm has rung; one that a sooner one has replaced counts for nothing."""
         if token == self.token:
-            self.alarm_at_ms = NEVER
+            self.alarm_at_ms = INFINITY
 
     def next_alarm(self) -> float | None:
         """When a new alarm has to ring, if the one that is set would ring too late; its token is `token`."""
--- a/dunepulley/routing/warm_state.py
+++ b/dunepulley/routing/warm_state.py
@@ -20,10 +20,10 @@
     "rate": "rate",
     "heard": "reported_ms",
     "queue": "queue_length",
-    "busy": "busy",
+    "busy": "used_slots_mean",
     "others": "other_slots",
     "asked_at": "checked_ms",
-    "untold": "untold_slots",
+    "untold": "unreported_slots",
     "run_seen": "observed_run_ms",
     "run_due": "expected_run_ms",
     "wait_seen": "start_delay_ms",
@@ -35,14 +35,14 @@
     "run_sum": "run_sum",
     "run_count": "run_count",
     "fresh": "first_timeout_ms",
-    "steady": "steady_clients",
+    "steady": "fixed_timeout_fraction",
 }
 # By its key, the part of the router and its attribute.
 ROUTER_FIELDS = {
     "mean_work": ("classes", "mean_slot_ms"),
     "credit": ("retry_budget", "balance"),
     "further_success": ("retry_budget", "success_rate"),
-    "want_used": ("subset", "wanted"),
+    "want_used": ("subset", "target_size"),
 }
 # Beyond this a number is no figure that was learned.
 _MOST = 1e300
@@ -118,7 +118,7 @@
         known = router.run_times.by_kind.get(kind)
         if known is not None and is_pair:
             known.observed_ms, known.expected_ms = runs
-    endpoints.inherit_slots()
+    endpoints.apply_known_slots()
 
 
 def _import_class(request_class: RequestClass, values: dict[str, float]) -> None:
--- a/dunepulley/routing/weights.py
+++ b/dunepulley/routing/weights.py
@@ -76,7 +76,7 @@
             if rate >= 0.0:
                 # A stale rate decays to the usual one; in pools those that are idle tell little.
                 trust = 0.5 ** ((now - endpoint.reported_ms) / CONTROL_PERIOD_MS / _RATE_HALF_LIFE_PERIODS)
-                trust *= min(1.0, endpoint.busy / endpoint.slots) if has_pools else 1.0
+                trust *= min(1.0, endpoint.used_slots_mean / endpoint.slots) if has_pools else 1.0
                 usual += (rate - usual) * trust
             usual = usual if usual > 0.0 else 0.0
             errors = endpoint.error_score
@@ -111,6 +111,6 @@
     rates = []
     for endpoint in ready:
         rate = endpoint.rate
-        busy = endpoint.busy / endpoint.slots
+        busy = endpoint.used_slots_mean / endpoint.slots
         rates.append(rate / min(1.0, max(busy, _LEAST_BUSY)) if rate >= 0.0 else -1.0)
     return rates
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -42,7 +42,7 @@
 
 
 def console_of(rig):
-    return f"127.0.0.1:{rig.service.console_port}"
+    return f"127.0.0.1:{rig.service.admin_port}"
 
 
 @contextlib.asynccontextmanager
@@ -112,7 +112,7 @@
 def test_a_change_that_was_half_written_is_not_there(tmp_path):
     path = str(tmp_path / "drains.json")
     some = drains.set_drain(
-        drains.DrainSet(5.0), drains.Drain("zone", "a", "ana", "", 0.0, drains.NEVER, 0), NOW
+        drains.DrainSet(5.0), drains.Drain("zone", "a", "ana", "", 0.0, drains.INFINITY, 0), NOW
     )
     drain_file.save(path, some)
     # The machine stops after any number of bytes of the next one.
@@ -202,7 +202,7 @@
             assert told["ok"] is False and told["refused"] and "\n" not in told["refused"], what
         told = await wire.ask(f"127.0.0.1:{here.port}", {"v": 7, "do": "list"}, 5.0)
         assert told["refused"] == "the tool speaks version 7 of the wire, this is version 2"
-        assert here.drains.revision == 0 and not rig.clients.leaving
+        assert here.drains.revision == 0 and not rig.frontend.drain_state
         # Who connects and says nothing, or half, holds up nobody.
         half = [await asyncio.open_connection("127.0.0.1", here.port) for _ in range(10)]
         half[0][1].write(b'{"v":2,')
@@ -360,7 +360,7 @@
         assert one.core.endpoints.ready_ids == {"w1"}
         # It died half way: written down, told to nobody.
         path = str(tmp_path / "drains.json")
-        more = drains.Drain("worker", "w1", "ana", "", 0.0, drains.NEVER, 0)
+        more = drains.Drain("worker", "w1", "ana", "", 0.0, drains.INFINITY, 0)
         written = drains.set_drain(drain_file.load(path, NOW), more, Clock().wall_ms())
         drain_file.save(path, written)
         async with DispatcherRig(taken, taken, taken) as two:
@@ -395,9 +395,9 @@
         assert one.core.endpoints.ready_ids == {"w1"} and not two.core.endpoints.ready_ids
         # Names may be any agent's; with one that nobody has, nothing is done.
         code, text = await type_in(capsys, [first, second], "leave", "n0", "n9")
-        assert code == 1 and "no dispatcher is called n9" in text and not one.clients.leaving
+        assert code == 1 and "no dispatcher is called n9" in text and not one.frontend.drain_state
         assert (await type_in(capsys, [first, second], "leave", "n1"))[0] == 0
-        assert two.clients.leaving == "drained" and not one.clients.leaving
+        assert two.frontend.drain_state == "drained" and not one.frontend.drain_state
         assert (await type_in(capsys, [first, second], "join", "n1", "n0"))[0] == 0
         await second.close()
         code, text = await type_in(capsys, [first, second], "drain", "--worker", "w1", "--force")
--- a/tests/agent/test_failover.py
+++ b/tests/agent/test_failover.py
@@ -411,7 +411,7 @@
 
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
     said = []
-    async with links.Link("{}:{}".format(*server.sockets[0].getsockname()), tell=said.append) as link:
+    async with links.Link("{}:{}".format(*server.sockets[0].getsockname()), log=said.append) as link:
         host, port = link.address.split(":")
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(b"one\n")
--- a/tests/agent/test_storage_faults.py
+++ b/tests/agent/test_storage_faults.py
@@ -36,8 +36,10 @@
 from dunepulley.net.counters import Counters
 
 NOW = 1_000_000.0
-OLD = drains.set_drain(drains.DrainSet(5.0), drains.Drain("zone", "a", "ana", "", 0.0, drains.NEVER, 0), NOW)
-NEW = drains.set_drain(OLD, drains.Drain("kind", "big", "ben", "x" * 150, 0.0, drains.NEVER, 0), NOW)
+OLD = drains.set_drain(
+    drains.DrainSet(5.0), drains.Drain("zone", "a", "ana", "", 0.0, drains.INFINITY, 0), NOW
+)
+NEW = drains.set_drain(OLD, drains.Drain("kind", "big", "ben", "x" * 150, 0.0, drains.INFINITY, 0), NOW)
 # What a disk does when it is full, and when it breaks.
 ERRORS = [errno.ENOSPC, errno.EIO]
 
@@ -242,7 +244,7 @@
 async def test_a_drain_that_may_not_last_is_in_force_written_later_and_ctl_says_so(
     tmp_path, monkeypatch, kind
 ):
-    monkeypatch.setattr(drain_store, "WRITE_AGAIN_S", 0.005)
+    monkeypatch.setattr(drain_store, "WRITE_RETRY_S", 0.005)
     async with agent_in(tmp_path) as here:
         with FaultyFiles(tmp_path) as layer:
             layer.fail(kind, only=lambda name: name == str(tmp_path))
@@ -254,7 +256,7 @@
             attempts = layer.kinds().count("rename")
             await until(lambda: layer.kinds().count("rename") > attempts + 2)
             layer.mend()
-            await until(lambda: not here.drain_store.unwritten)
+            await until(lambda: not here.drain_store.durability_error)
             assert "in force, but" not in (await ask(here, "drains"))[2]
             calls = list(layer.calls)
         last = max([at for at, call in enumerate(calls) if call.kind == "unlink" or call.kind == "rename"])
@@ -263,7 +265,7 @@
 
 @on_loop
 async def test_drains_that_were_read_are_in_force_though_the_disk_is_full_at_the_start(tmp_path, monkeypatch):
-    monkeypatch.setattr(drain_store, "WRITE_AGAIN_S", 0.005)
+    monkeypatch.setattr(drain_store, "WRITE_RETRY_S", 0.005)
     drain_file.save(drains_path(tmp_path), OLD)
     start = agent_file(tmp_path)
     with FaultyFiles(tmp_path) as layer:
@@ -276,7 +278,7 @@
             assert "in force, but" in lines and "zone a" in lines
             assert (await ask(here))[1] == ctl.ExitCode.REFUSED
             layer.mend()
-            await until(lambda: not here.drain_store.unwritten)
+            await until(lambda: not here.drain_store.durability_error)
             assert (await ask(here))[0].get("unwritten") is None
         finally:
             await here.close()
@@ -317,9 +319,9 @@
             layer.fail("fsync", only=lambda name: name == str(tmp_path))
             await ask(here)
             layer.mend()
-            assert here.drain_store.unwritten
+            assert here.drain_store.durability_error
             layer.calls.clear()
-        assert layer.kinds().count("rename") == 1 and not here.drain_store.unwritten
+        assert layer.kinds().count("rename") == 1 and not here.drain_store.durability_error
 
 
 # ---------------------------------------------------------------- votes: kills
@@ -649,7 +651,7 @@
 
 def came(one, numbers):
     for number in numbers:
-        one.came(float(number), "look", 1_000.0, 0.0, 3)
+        one.record_request(float(number), "look", 1_000.0, 0.0, 3)
 
 
 def times_in(path):
@@ -733,7 +735,7 @@
 
 
 def test_a_trace_whose_names_are_all_taken_keeps_no_dispatcher_from_starting(tmp_path, said, monkeypatch):
-    monkeypatch.setattr(recorder, "MOST_FILES", 3)
+    monkeypatch.setattr(recorder, "MAX_FILES", 3)
     for _ in range(5):
         one = recorder.Recorder(str(tmp_path / "trace"), 5, "n0")
         came(one, range(2))
@@ -774,7 +776,7 @@
         assert len(said) == 1 and "no upgrade will find this process" in said[0]
         await one.close()
     # No successor is kept from its start by what is left.
-    assert hot_restart.request_handover(path, "n0") is None
+    assert hot_restart.request_parent_state(path, "n0") is None
     next_one = hot_restart.HotRestart(None, path, Counters())
     next_one.listen_for_child()
     assert next_one.listener.socket is not None and len(said) == 1
@@ -789,7 +791,7 @@
     if made:
         scratch.write_text("")
     path = hot_restart.socket_path(str(scratch), "127.0.0.1", 5)
-    assert hot_restart.request_handover(path, "n0") is None
+    assert hot_restart.request_parent_state(path, "n0") is None
     one = hot_restart.HotRestart(None, path, Counters())
     one.listen_for_child()
     assert one.listener.socket is None and len(said) == 1 and "no upgrade will find this process" in said[0]
--- a/tests/agent/test_stored_forms.py
+++ b/tests/agent/test_stored_forms.py
@@ -29,7 +29,7 @@
 
 
 def plain_drain(drain):
-    expires_ms = None if drain.expires_ms == drains.NEVER else drain.expires_ms
+    expires_ms = None if drain.expires_ms == drains.INFINITY else drain.expires_ms
     texts = [drain.target_kind, drain.target, drain.operator, drain.reason]
     return [*texts, drain.started_ms, expires_ms, drain.revision]
 
--- a/tests/control/test_drains.py
+++ b/tests/control/test_drains.py
@@ -18,7 +18,7 @@
 NOW = 1_000_000.0
 
 
-def drain(what="zone", name="here", by="ana", until=drains.NEVER, why=""):
+def drain(what="zone", name="here", by="ana", until=drains.INFINITY, why=""):
     return drains.Drain(what, name, by, why, 0.0, until, 0)
 
 
@@ -238,7 +238,7 @@
     path.write_text(json.dumps(drain_json.encode_drain_set(some)))
     async with FakeServer(taken) as worker, DispatcherRig() as rig:
         start = rig.service.config._replace(
-            known=parse_endpoint_list(members(member("w0", worker.address)), ListUpdateKind.FROM_DISK),
+            initial_list=parse_endpoint_list(members(member("w0", worker.address)), ListUpdateKind.FROM_DISK),
             drains=config.read_drains(str(path)),
         )
         service = type(rig.service)(start)
--- a/tests/control/test_traffic_plan.py
+++ b/tests/control/test_traffic_plan.py
@@ -24,7 +24,7 @@
 from dunepulley.control.spare_capacity import allocate_spare
 from dunepulley.control.traffic_plan import (
     CLOSED_STATES,
-    NEVER,
+    INFINITY,
     OperatorOverride,
     OverrideAction,
     Plan,
@@ -231,7 +231,7 @@
     assert (
         PLAN.closed_zones() == {"a"}
         and PLAN.zone("odd").state == LOCAL
-        and PLAN.override("c").remaining_ms == NEVER
+        and PLAN.override("c").remaining_ms == INFINITY
     )
 
 
@@ -355,11 +355,13 @@
         follower.select(0.0, ready, ()) == {entry.endpoint_id for entry in ready}
         and follower.mode == FollowerMode.WITHOUT_PLAN
     )
-    assert follower.take(PlanLease(two, 1000.0)) and not follower.take(PlanLease(one, 9000.0))
+    assert follower.accept(PlanLease(two, 1000.0)) and not follower.accept(PlanLease(one, 9000.0))
     assert follower.select(1.0, ready, ()) == {"b0", "b1", "b2"} and follower.mode == FollowerMode.BY_PLAN
-    assert not follower.take(PlanLease(two, 500.0)) and follower.take(PlanLease(two, 2000.0))
-    assert not follower.take(PlanLease(two._replace(author="odd"), 5000.0)), "another plan of the same number"
-    assert follower.take(PlanLease(Plan(2, 0), 1500.0)), "a new epoch counts all the same"
+    assert not follower.accept(PlanLease(two, 500.0)) and follower.accept(PlanLease(two, 2000.0))
+    assert not follower.accept(PlanLease(two._replace(author="odd"), 5000.0)), (
+        "another plan of the same number"
+    )
+    assert follower.accept(PlanLease(Plan(2, 0), 1500.0)), "a new epoch counts all the same"
     # Its time is up: by the list alone, which needs nobody.
     assert (
         follower.select(1500.0, ready, ()) == {entry.endpoint_id for entry in ready}
@@ -371,7 +373,7 @@
     # Guards against the seconds between a zone's loss and the fleet's word of it.
     follower = plan_application.Follower("n0", "a")
     ready = entries(a=3, b=3, c=3)
-    follower.take(PlanLease(Plan(1, 1, zones=(ZonePlan("a"), ZonePlan("c", EVACUATED))), 1e9))
+    follower.accept(PlanLease(Plan(1, 1, zones=(ZonePlan("a"), ZonePlan("c", EVACUATED))), 1e9))
     assert follower.select(0.0, ready, {"a0"}) == {"a0", "a1", "a2"}
     assert follower.select(1.0, ready, {"a0", "a1"}) == {"a0", "a1", "a2", "b0", "b1", "b2"}
     assert follower.mode == FollowerMode.ESCAPED and follower.escapes == 1
@@ -379,7 +381,7 @@
     assert follower.select(1.0 + plan_application.ESCAPE_MS, ready, ()) == {"a0", "a1", "a2"}
     # The fleet's word ends it sooner.
     follower.select(2.0 + plan_application.ESCAPE_MS, ready, {"a0", "a1"})
-    follower.take(PlanLease(Plan(1, 2, zones=(ZonePlan("a", EVACUATED, (Spillover("b", 1.0),)),)), 1e9))
+    follower.accept(PlanLease(Plan(1, 2, zones=(ZonePlan("a", EVACUATED, (Spillover("b", 1.0),)),)), 1e9))
     assert follower.select(3.0 + plan_application.ESCAPE_MS, ready, {"a0", "a1"}) == {"b0", "b1", "b2"}
 
 
--- a/tests/load/test_load_faults.py
+++ b/tests/load/test_load_faults.py
@@ -7,7 +7,7 @@
 
 from dunepulley.load import faults, links
 from dunepulley.load.record import Record
-from dunepulley.model.day import Day, Fault
+from dunepulley.model.scenario import Fault, Scenario
 
 
 def fault(kind, from_s=0.0, to_s=1.0, one="n0", other="w0", **more):
@@ -16,7 +16,7 @@
     return "\n".join(["[[fault]]", *lines, ""])
 
 
-DAY = Day(dispatchers=3, workers=4, zones=2, way="common")
+DAY = Scenario(dispatchers=3, workers=4, zones=2, way="common")
 
 
 @pytest.mark.parametrize(
@@ -36,9 +36,9 @@
 
 
 def test_a_part_is_drawn_by_the_seed_and_is_at_least_one():
-    day = DAY._replace(faults=(Fault("kill", 0.0, 1.0, "dispatchers", part=0.1),))
-    assert {tuple(faults.planned(day, seed)[0].who) for seed in range(20)} == {("n0",), ("n1",), ("n2",)}
-    assert faults.planned(day, 3)[0].who == faults.planned(day, 3)[0].who
+    scenario = DAY._replace(faults=(Fault("kill", 0.0, 1.0, "dispatchers", part=0.1),))
+    assert {tuple(faults.planned(scenario, seed)[0].who) for seed in range(20)} == {("n0",), ("n1",), ("n2",)}
+    assert faults.planned(scenario, 3)[0].who == faults.planned(scenario, 3)[0].who
 
 
 @pytest.mark.parametrize(
--- a/tests/load/test_load_input.py
+++ b/tests/load/test_load_input.py
@@ -11,8 +11,8 @@
 
 from dunepulley import trace_format
 from dunepulley.__main__ import main
-from dunepulley.load import play
-from dunepulley.model.day import Day, settings_of
+from dunepulley.load import runner
+from dunepulley.model.scenario import Scenario, settings_of
 from dunepulley.net import config, recorder
 from dunepulley.net.settings_document import flatten_settings
 
@@ -77,33 +77,33 @@
     ],
 )
 def test_what_cannot_be_played_is_told_before_anything_starts(tmp_path, capsys, text, word):
-    day = tmp_path / "day.toml"
-    day.write_text(text)
-    assert main(["load", str(day)]) == 2
+    scenario = tmp_path / "day.toml"
+    scenario.write_text(text)
+    assert main(["load", str(scenario)]) == 2
     said = capsys.readouterr().err
     assert word in said and said.count("\n") == 1
 
 
 @pytest.mark.parametrize("words", [["--check", "nowhere"], ["--seeds", "1-2", "--record", "x"]])
 def test_words_that_make_no_sense_together_are_refused(tmp_path, capsys, words):
-    day = tmp_path / "day.toml"
-    day.write_text("seconds = 1.0\n")
-    assert main(["load", str(day), *words]) == 2
+    scenario = tmp_path / "day.toml"
+    scenario.write_text("seconds = 1.0\n")
+    assert main(["load", str(scenario), *words]) == 2
     assert capsys.readouterr().err.count("\n") == 1
 
 
 def test_the_model_plays_no_faults(tmp_path, capsys):
-    day = tmp_path / "day.toml"
-    day.write_text(fault("cut"))
-    assert main(["model", str(day)]) == 2
+    scenario = tmp_path / "day.toml"
+    scenario.write_text(fault("cut"))
+    assert main(["model", str(scenario)]) == 2
     assert "fault cut can be played on sockets only" in capsys.readouterr().err
 
 
 def test_a_trace_of_another_category_is_refused(tmp_path, capsys):
-    path, day = tmp_path / "trace", tmp_path / "day.toml"
-    day.write_text("seconds = 1.0\n")
+    path, scenario = tmp_path / "trace", tmp_path / "day.toml"
+    scenario.write_text("seconds = 1.0\n")
     path.write_text(HEAD + item(0) + item(1, category="odd"))
-    assert main(["load", str(day), "--trace", str(path)]) == 2
+    assert main(["load", str(scenario), "--trace", str(path)]) == 2
     assert "line 3: the day has no category odd" in capsys.readouterr().err
 
 
@@ -111,7 +111,7 @@
 async def test_what_comes_in_is_recorded_up_to_a_bound(tmp_path):
     path = tmp_path / "trace"
     async with DispatcherRig(lambda call: ACCEPTED) as rig:
-        rig.clients.recorder = recorder.Recorder(str(path), 2, "n0")
+        rig.frontend.recorder = recorder.Recorder(str(path), 2, "n0")
         for number in range(3):
             reader, writer = await rig.connect()
             writer.write(request("/look/1", b"abc", "X-Call-Cost: 5000", wi=f"i{number}"))
@@ -125,14 +125,14 @@
     assert came[0].at == 0.0 < came[1].at and came[0].budget == 3990.0
     # Nothing of an earlier trace is written over, and a disk that is full stops no work.
     again = recorder.Recorder(str(path), 5, "n0")
-    again.came(1.0, "look", 1.0, 0.0, 1)
+    again.record_request(1.0, "look", 1.0, 0.0, 1)
     again.close()
     assert len(trace_format.read_trace(str(path))) == 2 and len(trace_format.read_trace(f"{path}.1")) == 1
     full = recorder.Recorder(str(tmp_path / "full"), 5, "n0")
     full.file.close()
     full.file = open("/dev/full", "wb", buffering=0)
     for _ in range(3):
-        full.came(1.0, "look", 1.0, 0.0, 1)
+        full.record_request(1.0, "look", 1.0, 0.0, 1)
     assert full.file.closed
 
 
@@ -149,8 +149,8 @@
 
 
 def test_settings_go_through_a_dispatchers_file_as_they_are():
-    day = Day(dispatchers=3)
-    told = settings_of(day, 1)
-    assert flatten_settings(json.loads(json.dumps(play.nested(told)))) == told
-    start = play.told_of(day, 3, 1, {}, listen="127.0.0.1:1", discovery="127.0.0.1:2")
+    scenario = Scenario(dispatchers=3)
+    told = settings_of(scenario, 1)
+    assert flatten_settings(json.loads(json.dumps(runner.nested(told)))) == told
+    start = runner.told_of(scenario, 3, 1, {}, listen="127.0.0.1:1", discovery="127.0.0.1:2")
     assert start["name"] == "n1" and members(member("w0", "127.0.0.1:1"))
--- a/tests/load/test_load_record.py
+++ b/tests/load/test_load_record.py
@@ -5,7 +5,7 @@
 
 from dunepulley.load import check
 from dunepulley.load.record import Record, read
-from dunepulley.model.day import Category, Day
+from dunepulley.model.scenario import RequestClass, Scenario
 
 
 def asked(at, wi="i0", to="n0", category="look", budget=1000.0):
@@ -99,24 +99,24 @@
     ],
 )  # fmt: skip
 def test_what_a_record_says_of_the_rules(tmp_path, events, rule):
-    day = Day(
+    scenario = Scenario(
         second_copies=False,
         categories=(
-            Category("look"),
-            Category("store", effect="ticketed", group="cell", window_ms=500.0),
-            Category("pay", effect="exclusive"),
+            RequestClass("look"),
+            RequestClass("store", effect="ticketed", group="cell", window_ms=500.0),
+            RequestClass("pay", effect="exclusive"),
         ),
     )
     if rule != "lost" and not any([event["event"] == "answered" for event in events]):
         sent = [event for event in events if event["event"] == "sent"]
         events = [*events, *[answered(event["at"] + 900.0, wi=event["wi"]) for event in sent]]
-    broken = check.broken_in(day, events)
+    broken = check.broken_in(scenario, events)
     assert {text.partition(":")[0] for text in broken} == ({rule} if rule else set())
     # Read from a file it says the same.
     record = Record(lambda: 0.0)
     record.events = events
     record.write(str(tmp_path / "record"), "day.toml", 3)
-    assert check.broken_in(day, read(str(tmp_path / "record"))) == broken
+    assert check.broken_in(scenario, read(str(tmp_path / "record"))) == broken
 
 
 @pytest.mark.parametrize(
--- a/tests/load/test_load_run.py
+++ b/tests/load/test_load_run.py
@@ -11,9 +11,9 @@
 from support.event_loop import on_loop, until
 
 from dunepulley.__main__ import main
-from dunepulley.load import play
+from dunepulley.load import runner
 from dunepulley.load.record import read
-from dunepulley.model.world import World
+from dunepulley.model.simulation import Simulation
 
 ROUGH = """
 seconds = 6.0
@@ -104,7 +104,7 @@
     assert [event["at"] for event in events] == sorted([event["at"] for event in events])
     seen = {(event["event"], event.get("what", event.get("kind"))) for event in events}
     assert seen >= {("fault", kind) for kind in ("kill", "end", "stop", "cut", "reset", "slow", "clock")}
-    assert seen >= {("worker", what) for what in World.WORKER_CHANGES}
+    assert seen >= {("worker", what) for what in Simulation.WORKER_CHANGES}
     assert seen >= {("process", what) for what in ("killed", "told to end", "ended", "stopped", "goes on")}
     assert not [event for event in events if event["event"] == "fault of the tool"]
     # Each of those that ended serves again, and the one that was told to end did so well.
@@ -180,9 +180,9 @@
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT, signal.SIGKILL])
 @on_loop
 async def test_no_process_is_left_behind_however_the_tool_ends(tmp_path, number):
-    day = tmp_path / "day.toml"
-    day.write_text("seconds = 60.0\ndispatchers = 2\nload = 0.05\n")
-    command = [sys.executable, "-m", "dunepulley", "load", str(day)]
+    scenario = tmp_path / "day.toml"
+    scenario.write_text("seconds = 60.0\ndispatchers = 2\nload = 0.05\n")
+    command = [sys.executable, "-m", "dunepulley", "load", str(scenario)]
     pipe, environment = asyncio.subprocess.PIPE, os.environ | {"TMPDIR": str(tmp_path)}
     tool = await asyncio.create_subprocess_exec(*command, stderr=pipe, env=environment)
     await until(lambda: len(children_of(tool.pid)) == 2)
@@ -193,7 +193,7 @@
     await until(lambda: not any([alive(child) for child in children]))
     if number != signal.SIGKILL:
         assert tool.returncode == 2 and said == "dunepulley: told to end; what was started has ended\n"
-        assert list(tmp_path.iterdir()) == [day]
+        assert list(tmp_path.iterdir()) == [scenario]
 
 
 def test_a_day_on_sockets_is_that_of_the_model(tmp_path, capsys):
@@ -222,6 +222,6 @@
     path.write_text(text)
     assert main(["load", str(path), "--seeds", "3", "--json"]) == 0
     (told,) = json.loads(capsys.readouterr().out)
-    foretold = World(play.days.read(str(path)), 3).run()
+    foretold = Simulation(runner.scenarios.read(str(path)), 3).run()
     assert told["items"] == foretold["items"] == sum(told["answers"].values()) > 100
     assert told["payoff"] > 0.9 and foretold["payoff"] > 0.95 and not told["broken"]
--- a/tests/net/test_accept_faults.py
+++ b/tests/net/test_accept_faults.py
@@ -48,7 +48,7 @@
     # Guards against a client that is closed for an error of a connection that was never taken.
     with FaultySockets() as sockets:
         async with DispatcherRig(taken) as rig:
-            server = rig.clients.server
+            server = rig.frontend.server
             _, idle = await rig.connect()
             await until(lambda: server.new)
             first = next(iter(server.new))
@@ -72,8 +72,8 @@
             return add_reader(*what)
 
         # What waited at the start is accepted without a look.
-        await until(lambda: not rig.clients.listener.unseen_since)
-        rig.clients.listener.stop_accepting()
+        await until(lambda: not rig.frontend.listener.queued_since_s)
+        rig.frontend.listener.stop_accepting()
         monkeypatch.setattr(loop, "add_reader", add_reader_in_vain)
-        rig.clients.listener.start_accepting()
+        rig.frontend.listener.start_accepting()
         assert await healthy(rig) == "200" and len(failed) == 3
--- a/tests/net/test_admin.py
+++ b/tests/net/test_admin.py
@@ -45,7 +45,7 @@
     async with DispatcherRig(taken) as rig:
         assert await rig.admin(line) == said
         # Nothing of a call that is turned away is done.
-        assert bool(rig.clients.leaving) == (line == "LEAVE\n")
+        assert bool(rig.frontend.drain_state) == (line == "LEAVE\n")
         await until(lambda: not rig.service.admin.connections)
 
 
@@ -53,7 +53,7 @@
 async def test_a_call_in_pieces_beside_callers_that_say_nothing(monkeypatch):
     async with DispatcherRig(taken, sockets=64) as rig:
         assert rig.service.admin.max_connections == 4
-        callers = [await asyncio.open_connection("127.0.0.1", rig.service.console_port) for _ in range(30)]
+        callers = [await asyncio.open_connection("127.0.0.1", rig.service.admin_port) for _ in range(30)]
         callers[29][1].write(b"HEA")
         assert (await rig.admin("HEALTH\n")).startswith("200")
         for _, writer in callers[:3]:
@@ -63,7 +63,7 @@
         assert await callers[29][0].read() == b"200 ready\n"
         assert len(rig.service.admin.connections) <= 4
         monkeypatch.setattr(admin, "CONNECTION_TIMEOUT_S", 0.05)
-        reader, writer = await asyncio.open_connection("127.0.0.1", rig.service.console_port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", rig.service.admin_port)
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
         # One that sends without end and reads nothing holds up nobody.
@@ -114,16 +114,16 @@
             assert (await read_message(reader)).target in ("200", "500", "503")
             writer.close()
         # Turned away before the module: no descriptor left for it. What cannot be read counts nowhere.
-        rig.clients.most, usual = 0, rig.clients.most
+        rig.frontend.max_requests, usual = 0, rig.frontend.max_requests
         assert (await rig.exchange(request("/store/1", b"x", "Idempotency-Key: k", wi="d"))).target == "503"
-        rig.clients.most = usual
+        rig.frontend.max_requests = usual
         assert (await rig.exchange(request("/look/1", wi="a/b"))).target == "400"
         # The client goes: any count will do, but nothing of it stays open.
         _, writer = await rig.connect()
         writer.write(request("/look/1", wi="gone"))
-        await until(lambda: "gone" in rig.clients.waiting)
+        await until(lambda: "gone" in rig.frontend.waiting)
         writer.close()
-        await until(lambda: "gone" not in rig.clients.waiting)
+        await until(lambda: "gone" not in rig.frontend.waiting)
         await until(lambda: not rig.core.requests)
         told = await rig.metrics()
         refused = told["transactions.look.deferred"]
@@ -205,7 +205,7 @@
             assert (told.target, told.body, told.headers["connection"]) == ("200", wi.encode(), "close")
             assert not await reader.read()
         # Only the worker's connection is left, and the process runs on.
-        assert [c.is_endpoint for c in rig.clients.server.accepted] == [True]
+        assert [c.is_endpoint for c in rig.frontend.server.accepted] == [True]
         assert (await rig.admin("JOIN\n")).startswith("200") and (await rig.exchange(HEALTH)).target == "200"
         back, back_writer = await rig.connect()
         back_writer.write(request("/look/1", wi="back"))
@@ -226,7 +226,7 @@
         assert (await rig.admin("JOIN\n")).startswith("200")
         await rig.admin("LEAVE\n")
         assert (await rig.admin("JOIN\n")).startswith("200")
-        assert rig.clients.timer is None and not rig.clients.stopped
+        assert rig.frontend.timer is None and not rig.frontend.is_rejecting
         writer.write(HEALTH)
         told = await read_message(reader)
         assert told.target == "200" and "connection" not in told.headers
@@ -244,12 +244,12 @@
         await until(lambda: rig.endpoints[0].seen)
         await rig.admin("LEAVE\n")
         if closed:
-            await until(lambda: rig.clients.stopped)
+            await until(lambda: rig.frontend.is_rejecting)
         finish = asyncio.create_task(rig.service.finish())
-        await until(lambda: rig.clients.leaving == "ending")
+        await until(lambda: rig.frontend.drain_state == "ending")
         assert (await rig.admin("LEAVE\n")).startswith("200 ending")
         assert (await rig.admin("JOIN\n")).startswith("400 ending")
-        await until(lambda: rig.clients.stopped)
+        await until(lambda: rig.frontend.is_rejecting)
         assert not finish.done()
         await rig.callback("w0", "done", result="made")
         assert (await read_message(reader)).body == b"made"
--- a/tests/net/test_attempt_start.py
+++ b/tests/net/test_attempt_start.py
@@ -54,8 +54,8 @@
         await until(lambda: hold_up.happened)
         await all_ended(rig)
         assert len(attempts(rig)) == number - 1
-        assert rig.core.counters["withdrawn"] == 1 and not rig.clients.waiting
-        await until(lambda: not rig.clients.server.accepted)
+        assert rig.core.counters["withdrawn"] == 1 and not rig.frontend.waiting
+        await until(lambda: not rig.frontend.server.accepted)
         client.close()
 
 
@@ -93,10 +93,10 @@
         self.over = []
         self.begun = 0.0
         self.client = RawClient(rig.service.port)
-        self.handle = rig.core.dispatcher.handle
+        self.handle = rig.core.router.handle
         self.may_begin = rig.core.may_begin
         self.write = AttemptBody.write_with_length
-        rig.core.dispatcher.handle = self._handle
+        rig.core.router.handle = self._handle
         rig.service.upstream.may_begin = self._gate
         monkeypatch.setattr(AttemptBody, "write_with_length", lambda body, *more: self._write(body, *more))
 
@@ -177,8 +177,8 @@
 @on_loop
 async def test_a_first_request_long_after_the_start_has_its_whole_time():
     async with DispatcherRig(lambda call: ACCEPTED) as rig:
-        await until(lambda: not rig.clients.listener.unseen_since)
-        assert not rig.clients.server.accepted
+        await until(lambda: not rig.frontend.listener.queued_since_s)
+        assert not rig.frontend.server.accepted
 
 
 class LackingSocket:
@@ -207,7 +207,7 @@
     if why == "descriptors":
         rig.discovery.announce(told)
         await entering
-        listener = rig.clients.listener
+        listener = rig.frontend.listener
         usual, listener.socket = listener.socket, LackingSocket(listener.socket)
     client = RawClient(rig.service.port)
     client.send(request("/look/1", budget=BUDGET_MS))
@@ -224,7 +224,7 @@
     told_ms = float(rig.endpoints[0].seen[0].headers["x-budget-ms"])
     assert told_ms <= BUDGET_MS - 2.0 * SLACK_MS and told_ms > BUDGET_MS - passed - 1000.0
     # The next request on the connection, and the next connection, have their whole time.
-    await until(lambda: not rig.clients.listener.unseen_since)
+    await until(lambda: not rig.frontend.listener.queued_since_s)
     await rig.callback("w0", "done", result="made")
     await all_ended(rig)
     for wi, again in (("b", client), ("c", RawClient(rig.service.port))):
--- a/tests/net/test_attempt_windows.py
+++ b/tests/net/test_attempt_windows.py
@@ -29,8 +29,8 @@
         self.number, self.place, self.act = number, place, act
         self.begun = []
         self.held = None  # when the hold-up began
-        self.handle, self.may_begin = rig.core.dispatcher.handle, rig.core.may_begin
-        rig.core.dispatcher.handle, rig.service.upstream.may_begin = self._decide, self._gate
+        self.handle, self.may_begin = rig.core.router.handle, rig.core.may_begin
+        rig.core.router.handle, rig.service.upstream.may_begin = self._decide, self._gate
 
     def _hold_up(self, place):
         if place == self.place and self.held is None and len(self.begun) == self.number - 1:
@@ -71,7 +71,7 @@
             await until_true(lambda: rig.core.counters["ho accepted"])
             held_up.time.step((window_ms - max(0.1 * window_ms, 150.0) - before_ms) / 1000.0)
             rig.core.put(CallbackReceived("a", f"w{attempts(rig)[0]}", "lost", 0.0, b"", None))
-            answered = rig.clients.waiting["a"].answer
+            answered = rig.frontend.waiting["a"].answer
             await until_true(lambda: len(held_up.begun) == 2 or answered.done())
             begun = held_up.begun
         assert held_up.held is not None or before_ms < 0.0
--- a/tests/net/test_cancel_faults.py
+++ b/tests/net/test_cancel_faults.py
@@ -69,7 +69,7 @@
 @on_loop
 async def test_what_a_cancel_that_cannot_connect_for_seconds_proves(monkeypatch, reply, error, result):
     if result is AttemptResult.CANCEL_UNCONFIRMED:
-        monkeypatch.setattr(cancellation, "CONFIRM_WITHIN_S", 0.35)  # the same, sooner
+        monkeypatch.setattr(cancellation, "CONFIRMATION_TIMEOUT_S", 0.35)  # the same, sooner
     with FaultySockets() as sockets:
         case = Canceled(sockets, reply, error, times=float("inf"))
         async with case.peer, UpstreamSender(**ONE_COPY) as sender:
--- a/tests/net/test_connection_faults.py
+++ b/tests/net/test_connection_faults.py
@@ -59,7 +59,7 @@
     error, monkeypatch
 ):
     # A busy machine must not have the request written off before the decision is made.
-    monkeypatch.setattr(server, "BACKSTOP_MS", 10_000.0)
+    monkeypatch.setattr(server, "UNANSWERED_GRACE_MS", 10_000.0)
     with FaultySockets() as sockets:
         async with FaultyDispatcherRig(sockets, taken) as rig:
             faults = rig.fail("connect", error)
--- a/tests/net/test_core.py
+++ b/tests/net/test_core.py
@@ -77,7 +77,7 @@
         )
         self.core = Core(7, settings, known, Counters())
         self.core.executor.attempt_sender = self.hands = RecordingSender()
-        self.core.dispatcher = self.module = Script(**commands)
+        self.core.router = self.module = Script(**commands)
 
     async def __aenter__(self):
         self.task = asyncio.create_task(self.core.run())
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -34,7 +34,7 @@
         return [{entry.endpoint_id: entry.state for entry in update.entries} for update in self.updates]
 
 
-def drained(endpoint_id, until=drains.NEVER):
+def drained(endpoint_id, until=drains.INFINITY):
     return drains.set_drain(
         drains.DrainSet(), drains.Drain("worker", endpoint_id, "me", "", 0.0, until, 0), 0.0
     )
@@ -81,7 +81,7 @@
     assert case.states() == [{"w0": EndpointState.DRAINING}]
     case.view.refresh(NOW + 500.0, case.router)
     assert case.states()[1:] == [{"w0": EndpointState.READY}]
-    assert case.view.next_refresh_ms(NOW + 500.0) == drains.NEVER
+    assert case.view.next_refresh_ms(NOW + 500.0) == drains.INFINITY
 
 
 @on_loop
--- a/tests/net/test_final_responses.py
+++ b/tests/net/test_final_responses.py
@@ -98,7 +98,7 @@
 
     async with DispatcherRig(say, say, sockets=64) as rig:
         crowd = []
-        for number in range(2 * rig.clients.server.limit):
+        for number in range(2 * rig.frontend.server.limit):
             with contextlib.suppress(ConnectionError):
                 _, writer = await rig.connect()
                 crowd.append(writer)
--- a/tests/net/test_frontend.py
+++ b/tests/net/test_frontend.py
@@ -46,7 +46,7 @@
             told = await read_message(reader)
             assert (told.target, told.body) == ("200", result.encode())
         assert rig.endpoints[0].connections == 1
-        await until(lambda: not rig.core.requests and not rig.clients.waiting)
+        await until(lambda: not rig.core.requests and not rig.frontend.waiting)
         writer.close()
 
 
@@ -91,7 +91,7 @@
     async with DispatcherRig(taken) as rig:
         assert (await rig.exchange(raw)).target == status
         assert not rig.endpoints[0].seen and not rig.core.counters["taken"]
-        await until(lambda: not rig.clients.server.accepted)
+        await until(lambda: not rig.frontend.server.accepted)
         assert (await rig.exchange(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")).target == "200"
 
 
@@ -133,7 +133,7 @@
         writer.write("\r\n".join(head).encode())
         if split:  # what follows comes later
             await until(
-                lambda: any([c.buffer.received for c in rig.clients.server.accepted]) or rig.core.counters
+                lambda: any([c.buffer.received for c in rig.frontend.server.accepted]) or rig.core.counters
             )
         writer.write(body)
         writer.write(HIDDEN)
@@ -141,7 +141,7 @@
         assert told.target.startswith("4") and told.headers["connection"] == "close"
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
-        await until(lambda: not rig.core.requests and not rig.clients.waiting)
+        await until(lambda: not rig.core.requests and not rig.frontend.waiting)
         assert not [call for call in rig.endpoints[0].seen if call.headers.get("x-call-id") == "hidden"]
         writer.close()
 
@@ -197,9 +197,9 @@
         writer.write("\r\n".join(head).encode() + body + (b"" if split else behind))
         await until(lambda: rig.endpoints[0].seen)
         if split:
-            (connection,) = rig.clients.server.accepted
+            (connection,) = rig.frontend.server.accepted
             writer.write(behind)
-            await until(lambda: connection.excess_bytes >= min(len(behind), framing.BODY_LIMIT))
+            await until(lambda: connection.excess_bytes >= min(len(behind), framing.MAX_BODY_BYTES))
         await rig.callback("w0", "done", result="made")
         told = await read_message(reader)
         assert (told.target, told.body) == ("200", b"made")
@@ -207,8 +207,8 @@
         assert (told.target, told.headers["connection"]) == ("400", "close")
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
-        await until(lambda: not rig.core.requests and not rig.clients.waiting)
-        await until(lambda: not rig.clients.server.accepted)
+        await until(lambda: not rig.core.requests and not rig.frontend.waiting)
+        await until(lambda: not rig.frontend.server.accepted)
         assert [call.headers["x-call-id"] for call in rig.endpoints[0].seen] == ["a"]
         assert rig.endpoints[0].seen[0].body == (b"x" if body else b"")
         writer.close()
@@ -273,9 +273,7 @@
             lambda: not core.requests and not rig.service.upstream.tasks and not core.requests.changed
         )
         assert (
-            not rig.clients.waiting
-            and not core.dispatcher.lifecycle.requests
-            and not core.dispatcher.queue.waiting
+            not rig.frontend.waiting and not core.router.lifecycle.requests and not core.router.queue.waiting
         )
         assert (
             core.counters["taken"] == 120
@@ -298,7 +296,7 @@
         # The worker is told, whether it has answered yet or not.
         await until(lambda: [call for call in rig.endpoints[0].seen if call.method == "DELETE"])
         await until(lambda: not rig.core.requests and not rig.service.upstream.tasks)
-        assert not rig.clients.waiting
+        assert not rig.frontend.waiting
         assert rig.core.counters["withdrawn"] == 1
         assert (await rig.callback("w0", "done", result="late")).target == "204"
         assert rig.core.counters["callbacks stray"] == 1
@@ -335,7 +333,7 @@
 @on_loop
 async def test_an_item_the_module_forgets_is_written_off():
     async with DispatcherRig(taken) as rig:
-        rig.core.dispatcher.handle = lambda now, events: [None for _ in events][:0]
+        rig.core.router.handle = lambda now, events: [None for _ in events][:0]
         assert (await rig.exchange(request("/look/1", budget=50))).target == "500"
         await until(lambda: not rig.core.requests)
         assert rig.core.counters["overdue"] == 1
--- a/tests/net/test_frontend_limits.py
+++ b/tests/net/test_frontend_limits.py
@@ -25,7 +25,7 @@
 @on_loop
 async def test_a_client_that_floods_behind_a_request_and_goes_is_seen_to_go(monkeypatch):
     # Guards against a request held for nobody: behind so much the close is not read.
-    monkeypatch.setattr(client_connection, "PAUSE_S", 0.02)
+    monkeypatch.setattr(client_connection, "MAX_PAUSE_S", 0.02)
 
     def say(call):
         return response(204) if call.method == "DELETE" else ACCEPTED
@@ -34,11 +34,11 @@
         _, writer = await rig.connect()
         writer.write(request("/look/1") + HIDDEN * 2000)
         await until(lambda: rig.endpoints[0].seen)
-        (connection,) = rig.clients.server.accepted
-        await until(lambda: connection.excess_bytes > framing.BODY_LIMIT)
+        (connection,) = rig.frontend.server.accepted
+        await until(lambda: connection.excess_bytes > framing.MAX_BODY_BYTES)
         writer.transport.abort()
         await until(lambda: [call for call in rig.endpoints[0].seen if call.method == "DELETE"])
-        await until(lambda: not rig.core.requests and not rig.clients.waiting)
+        await until(lambda: not rig.core.requests and not rig.frontend.waiting)
         assert rig.core.counters["withdrawn"] == 1
 
 
@@ -54,9 +54,11 @@
 )
 @on_loop
 async def test_who_sends_no_whole_request_is_not_waited_for(raw, status, monkeypatch):
-    assert client_connection.WHOLE_S + client_connection.READ_IT_S < 2.5  # of the 3 s that are allowed
-    monkeypatch.setattr(client_connection, "WHOLE_S", 0.25)
-    monkeypatch.setattr(client_connection, "PAUSE_S", 0.05)
+    assert (
+        client_connection.REQUEST_TIMEOUT_S + client_connection.LINGER_S < 2.5
+    )  # of the 3 s that are allowed
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.25)
+    monkeypatch.setattr(client_connection, "MAX_PAUSE_S", 0.05)
     # The request in hand is not given up as late, however busy the machine is.
     async with DispatcherRig(
         taken, **{f"categories__{number}__dueTimeMs": 60000.0 for number in range(3)}
@@ -81,8 +83,8 @@
 
 @on_loop
 async def test_who_keeps_writing_is_waited_for_but_not_for_ever(monkeypatch):
-    monkeypatch.setattr(client_connection, "WHOLE_S", 0.05)
-    monkeypatch.setattr(client_connection, "PAUSE_S", 0.2)
+    monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.05)
+    monkeypatch.setattr(client_connection, "MAX_PAUSE_S", 0.2)
     async with DispatcherRig(taken) as rig:
         reader, writer = await rig.connect()
         for part in request("/look/1", b"12345678").partition(b"78"):
@@ -91,7 +93,7 @@
         await until(lambda: rig.endpoints[0].seen)
         await rig.callback("w0", "done", result="made")
         assert (await read_message(reader)).target == "200"
-        monkeypatch.setattr(client_connection, "SLOW_S", 0.3)
+        monkeypatch.setattr(client_connection, "MAX_REQUEST_S", 0.3)
         for octet in request("/look/1", wi="b"):
             writer.write(bytes([octet]))
             await asyncio.sleep(0.02)
@@ -103,25 +105,25 @@
 
 @on_loop
 async def test_room_is_made_by_those_least_likely_to_send(monkeypatch):
-    monkeypatch.setattr(connection_table, "HALF_S", 0.0)
+    monkeypatch.setattr(connection_table, "MIN_PARTIAL_PAUSE_S", 0.0)
     async with DispatcherRig(taken, sockets=32) as rig:
-        rig.clients.server.limit = 4
+        rig.frontend.server.limit = 4
         idle = await rig.connect()
         idle[1].write(request("/odd/1").replace(b"POST /odd", b"GET /_health?"))
         await read_message(idle[0])
         halves = [await rig.connect() for _ in range(2)]
         for number, (_, writer) in enumerate(halves):
             writer.write(request("/look/1", wi=f"h{number}")[:-1])
-            await until(lambda number=number: len(rig.clients.server.partial) == number + 1)
+            await until(lambda number=number: len(rig.frontend.server.partial) == number + 1)
         # Strangers go first, not those that have sent half of a work item: a flood of silence takes nothing
         # from them.
         flood = [await rig.connect() for _ in range(12)]
         assert not rig.core.counters["connections without room"]
         halves[0][1].write(b"x")
         await until(lambda: rig.core.counters["taken"] == 1)
-        assert len(rig.clients.server.partial) == 1
-        rig.clients.server.share(0.1)  # as when another process takes its part
-        await until(lambda: len(rig.clients.server.accepted) == 1)
+        assert len(rig.frontend.server.partial) == 1
+        rig.frontend.server.set_connection_fraction(0.1)  # as when another process takes its part
+        await until(lambda: len(rig.frontend.server.accepted) == 1)
         with contextlib.suppress(ConnectionError):
             assert await halves[1][0].read() == b""
         for _, writer in (idle, *halves, *flood):
@@ -135,23 +137,23 @@
 @on_loop
 async def test_halves_hold_no_more_bytes_than_they_may():
     async with DispatcherRig(taken) as rig:
-        rig.clients.server.max_partial_bytes = 200_000
+        rig.frontend.server.max_partial_bytes = 200_000
         half = request("/look/1", b"x" * 60_000, wi="h")[:-1]
-        halves, writers = rig.clients.server.partial, []
+        halves, writers = rig.frontend.server.partial, []
         for _ in range(12):
             _, writer = await rig.connect()
             writer.write(half)
             writers.append(writer)
             mine = writer.get_extra_info("sockname")
             await until(lambda mine=mine: mine in [whose(c) for c in halves if c.counted_bytes == len(half)])
-        assert rig.clients.server.partial_bytes == 3 * len(half)
+        assert rig.frontend.server.partial_bytes == 3 * len(half)
         writers[-1].write(b"x")  # the newest of them is still waited for
         await until(lambda: rig.endpoints[0].seen)
-        assert rig.clients.server.partial_bytes == 2 * len(half)
+        assert rig.frontend.server.partial_bytes == 2 * len(half)
         for writer in writers:
             writer.close()
-        await until(lambda: not rig.clients.server.accepted)
-        assert rig.clients.server.partial_bytes == 0
+        await until(lambda: not rig.frontend.server.accepted)
+        assert rig.frontend.server.partial_bytes == 0
 
 
 @on_loop
@@ -168,30 +170,30 @@
                 assert (await read_message(flood[-1][0])).target == "200"
         told = await asyncio.gather(*[rig.exchange(request("/odd/1", wi=f"o{n}")) for n in range(60)])
         assert {call.target for call in told} == {"404"}
-        assert len(rig.clients.server.accepted) <= rig.clients.server.limit == 18
+        assert len(rig.frontend.server.accepted) <= rig.frontend.server.limit == 18
         assert (await rig.callback("w0", "done", result="made")).target == "204"
         assert (await read_message(kept)).target == "200"
         for _, writer in (*flood, (kept, kept_writer)):
             writer.close()
-        await until(lambda: not rig.clients.server.accepted)
-        assert not rig.clients.server.new and not rig.clients.server.idle
+        await until(lambda: not rig.frontend.server.accepted)
+        assert not rig.frontend.server.new and not rig.frontend.server.idle
 
 
 @on_loop
 async def test_idle_connections_make_room_and_too_many_items_are_turned_away():
     async with DispatcherRig(taken, sockets=12) as rig:  # four items at most
-        rig.clients.server.limit = 6
+        rig.frontend.server.limit = 6
         idle = [await rig.connect() for _ in range(6)]
-        await until(lambda: len(rig.clients.server.new) == 6)
-        for connection in rig.clients.server.new:
-            rig.clients.server.new[connection] -= 5.0  # silent for long
+        await until(lambda: len(rig.frontend.server.new) == 6)
+        for connection in rig.frontend.server.new:
+            rig.frontend.server.new[connection] -= 5.0  # silent for long
         busy = []
         for number in range(4):
             reader, writer = await rig.connect()
             writer.write(request("/look/1", wi=f"i{number}"))
             busy.append((reader, writer))
-            await until(lambda number=number: len(rig.clients.waiting) == number + 1)
-        assert len(rig.clients.server.accepted) <= 6
+            await until(lambda number=number: len(rig.frontend.waiting) == number + 1)
+        assert len(rig.frontend.server.accepted) <= 6
         assert await idle[0][0].read() == b""  # the longest idle was closed
         told = await rig.exchange(request("/look/1", wi="more"))
         assert told.target == "503" and told.headers["connection"] == "close"
@@ -214,7 +216,7 @@
     async with DispatcherRig(taken, taken, taken) as rig:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         reader, writer = await rig.connect()
-        await until(lambda: rig.clients.server.accepted)
+        await until(lambda: rig.frontend.server.accepted)
         waiting = socket.create_connection(("127.0.0.1", rig.service.port))  # connected, not yet accepted
         held = []
         try:
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -104,7 +104,7 @@
     async with DispatcherHost(tmp_path) as site:
         old = await site.serving()
         # Pretends to start, and then says nothing.
-        hung = hot_restart.request_handover(site.path, "hung")
+        hung = hot_restart.request_parent_state(site.path, "hung")
         assert hung.state["known"]["revision"] == 7 and len(hung.state["known"]["members"]) == ENDPOINT_COUNT
         assert (await old.call("HEALTH")).startswith("200")
         # Meanwhile another one is not let in, and says so in one line.
@@ -251,17 +251,19 @@
                 link.close()
 
             threading.Thread(target=answer, daemon=True).start()
-        with pytest.raises(hot_restart.HandoverError, match=word) as problem:
-            hot_restart.request_handover(path, "n0")
+        with pytest.raises(hot_restart.HotRestartError, match=word) as problem:
+            hot_restart.request_parent_state(path, "n0")
         assert "\n" not in str(problem.value)
 
 
 def test_a_deep_folder_is_no_hindrance(tmp_path):
     folder = tmp_path / ("d" * 100)
     folder.mkdir()
-    assert hot_restart.request_handover(hot_restart.socket_path(str(folder), "127.0.0.1", 1), "n0") is None
+    assert (
+        hot_restart.request_parent_state(hot_restart.socket_path(str(folder), "127.0.0.1", 1), "n0") is None
+    )
     assert hot_restart.socket_path("", "127.0.0.1", 1) == ""
-    assert hot_restart.request_handover("", "n0") is None
+    assert hot_restart.request_parent_state("", "n0") is None
 
 
 @on_loop
--- a/tests/net/test_hot_restart_faults.py
+++ b/tests/net/test_hot_restart_faults.py
@@ -31,22 +31,22 @@
 def test_a_folder_that_cannot_be_searched_stops_no_start(tmp_path, said, monkeypatch, number):
     path = hot_restart.socket_path(str(tmp_path), "127.0.0.1", 5)
     monkeypatch.setattr(socket.socket, "connect", failing(number))
-    assert hot_restart.request_handover(path, "n0") is None
+    assert hot_restart.request_parent_state(path, "n0") is None
     assert len(said) == 1 and os.strerror(number) in said[0]
 
 
 def test_a_long_path_whose_folder_cannot_be_opened_stops_no_start(tmp_path, said, monkeypatch):
     path = hot_restart.socket_path(str(tmp_path / ("a" * 120)), "127.0.0.1", 5)
     monkeypatch.setattr(os, "open", failing(errno.EMFILE))
-    assert hot_restart.request_handover(path, "n0") is None
+    assert hot_restart.request_parent_state(path, "n0") is None
     assert len(said) == 1
 
 
 def test_a_process_that_serves_and_takes_no_connection_still_refuses_a_second(tmp_path, monkeypatch):
     # Two that serve at one address without knowing of each other would each spend the whole of every budget.
     monkeypatch.setattr(socket.socket, "connect", mock.Mock(side_effect=TimeoutError))
-    with pytest.raises(hot_restart.HandoverError):
-        hot_restart.request_handover(hot_restart.socket_path(str(tmp_path), "127.0.0.1", 5), "n0")
+    with pytest.raises(hot_restart.HotRestartError):
+        hot_restart.request_parent_state(hot_restart.socket_path(str(tmp_path), "127.0.0.1", 5), "n0")
 
 
 @pytest.mark.parametrize("where", [(os, "rename"), (socket.socket, "listen")])
--- a/tests/net/test_hot_restart_versions.py
+++ b/tests/net/test_hot_restart_versions.py
@@ -102,7 +102,7 @@
     some = inherited_drains(inherited, clock)
     assert some.version == (5, 3) and [drain.target for drain in some.drains] == ["w1", "z"]
     assert some.drains[0].expires_ms - clock() == pytest.approx(HOUR_MS, abs=5000.0)
-    assert some.drains[1].expires_ms == drains.NEVER
+    assert some.drains[1].expires_ms == drains.INFINITY
     held = parse_plan(PARENT_STATE["plan"], clock)
     assert held.plan.version == (1, 2) and [zone.name for zone in held.plan.zones] == ["a"]
     assert 0.0 < held.expires_ms - clock() <= HOUR_MS
@@ -113,10 +113,10 @@
     async with contextlib.AsyncExitStack() as stack:
         child = dispatcher(stack, later(), Inherited(None, None, PARENT_STATE))
         assert child.core.clock.base == PARENT_STATE["clock"]["base"]
-        assert child.config.known.addresses["w0"] == PARENT_STATE["known"]["members"][0]["host_port"]
+        assert child.config.initial_list.addresses["w0"] == PARENT_STATE["known"]["members"][0]["host_port"]
         assert child.drains_at_start().version == (5, 3)
         child.inherit_plan()
-        assert child.core.endpoints.follower.holds(child.core.clock())
+        assert child.core.endpoints.follower.has_valid_plan(child.core.clock())
 
 
 @on_loop
@@ -124,8 +124,8 @@
     warm = messages.parse(PARENT_HANDED_OVER).warm_state
     async with contextlib.AsyncExitStack() as stack:
         child = dispatcher(stack, later(), Inherited(None, None, PARENT_STATE))
-        router = child.core.dispatcher
-        router.handle(child.core.clock(), [child.config.known.update])
+        router = child.core.router
+        router.handle(child.core.clock(), [child.config.initial_list.update])
         warm_state.import_state(router, warm)
         again = json.loads(json.dumps(warm_state.export_state(router)))
     for name in ("rate", "queue", "busy", "heard", "run_seen", "run_due", "share"):
@@ -166,10 +166,10 @@
             clock(),
         )
         core.endpoints.drains = drains.set_drain(
-            some, drains.Drain("zone", "z", "ana", "", 0.0, drains.NEVER, 0), clock()
+            some, drains.Drain("zone", "z", "ana", "", 0.0, drains.INFINITY, 0), clock()
         )
         plan = traffic_plan.Plan(1, 2, "h1", clock(), zones=(traffic_plan.ZonePlan("a"),))
-        core.endpoints.follower.take(plan_application.PlanLease(plan, clock() + 4000.0))
+        core.endpoints.follower.accept(plan_application.PlanLease(plan, clock() + 4000.0))
         running = asyncio.create_task(core.run())
         await core.ask(WarmStateRequested)  # the router has the list once the batch of this one is over
         core.put(WarmStateReceived(PARENT_HANDED_OVER["yours"]))  # has it know what was reported there
--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -20,22 +20,22 @@
 @pytest.mark.parametrize("half", [True, False])
 @on_loop
 async def test_a_connection_that_rests_too_long_is_closed_but_not_under_half_a_request(half, monkeypatch):
-    monkeypatch.setattr(client_connection, "KEPT_S", 0.3)
+    monkeypatch.setattr(client_connection, "KEEP_ALIVE_TIMEOUT_S", 0.3)
     async with DispatcherRig(lambda call: ACCEPTED) as rig, ClientSocket(rig.service.port) as client:
         await client.send(request("/look/1", wi="a"))
         await until(lambda: rig.endpoints[0].seen)
         await rig.callback("w0", "done", "a", result="made")
         assert (await client.ending()).kept
         (connection,) = [
-            one for one in rig.clients.server.accepted if one.has_sent_request and not one.is_endpoint
+            one for one in rig.frontend.server.accepted if one.has_sent_request and not one.is_endpoint
         ]
         if half:
             await client.send(request("/look/1", wi="b")[:-1])
             await until(lambda: connection.buffer.received)
             await asyncio.wait([asyncio.create_task(client.ending())], timeout=0.5)
-            assert connection in rig.clients.server.partial
+            assert connection in rig.frontend.server.partial
         else:
-            await until(lambda: connection not in rig.clients.server.accepted)
+            await until(lambda: connection not in rig.frontend.server.accepted)
 
 
 def reply_to(call, kept):
@@ -93,15 +93,15 @@
 @pytest.mark.parametrize("room", ["new connection", "another process"])
 @on_loop
 async def test_a_request_that_crosses_a_close_for_room_is_answered_or_not_read(room, comes, monkeypatch):
-    monkeypatch.setattr(connection_table, "IDLE_S", 0.0)
-    monkeypatch.setattr(connection_table, "HALF_S", 0.0)
+    monkeypatch.setattr(connection_table, "MIN_IDLE_S", 0.0)
+    monkeypatch.setattr(connection_table, "MIN_PARTIAL_PAUSE_S", 0.0)
 
     async with DispatcherRig(lambda call: ACCEPTED) as rig, ClientSocket(rig.service.port) as client:
         await client.send(request(LOOK, wi="first"))
         await until(lambda: attempts(rig, "first"))
         await rig.callback("w0", "done", "first", result="made")
         assert (await client.ending()).kept
-        server = rig.clients.server
+        server = rig.frontend.server
         # Callbacks' connections have gone: only the resting one is there.
         await until(lambda: len(server.accepted) == 1)
         (resting,) = server.accepted
@@ -112,9 +112,9 @@
         if comes == "before":
             client.socket.send(raw)
         if room == "another process":
-            server.share(0.0)
+            server.set_connection_fraction(0.0)
         else:
-            assert server.make_room()
+            assert server.evict_connection()
         # Between the decision to close and the close itself, which is one turn of the loop later.
         if comes == "between":
             client.socket.send(raw)
@@ -132,8 +132,8 @@
 @pytest.mark.parametrize("halves", [False, True])
 @on_loop
 async def test_of_many_requests_that_cross_a_close_for_room_each_is_answered_or_not_read(halves, monkeypatch):
-    monkeypatch.setattr(connection_table, "IDLE_S", 0.0)
-    monkeypatch.setattr(connection_table, "HALF_S", 0.0)
+    monkeypatch.setattr(connection_table, "MIN_IDLE_S", 0.0)
+    monkeypatch.setattr(connection_table, "MIN_PARTIAL_PAUSE_S", 0.0)
 
     def say(call):
         if call.method == "POST":
@@ -141,7 +141,7 @@
         return ACCEPTED
 
     async with DispatcherRig(say, **DUE_LATE) as rig, contextlib.AsyncExitStack() as stack:
-        server = rig.clients.server
+        server = rig.frontend.server
         some = [await stack.enter_async_context(ClientSocket(rig.service.port)) for _ in range(12)]
         for number, client in enumerate(some):
             await client.send(request(LOOK, wi=f"first{number}"))
@@ -154,7 +154,7 @@
         for number, (client, raw) in enumerate(zip(some, raws, strict=True)):
             if number % 2:
                 client.socket.send(raw[cut:])
-        server.share(6 / server.full_limit)
+        server.set_connection_fraction(6 / server.full_limit)
         for number, (client, raw) in enumerate(zip(some, raws, strict=True)):
             if not number % 2:
                 client.socket.send(raw[cut:])
--- a/tests/net/test_mixed_fleet.py
+++ b/tests/net/test_mixed_fleet.py
@@ -21,7 +21,7 @@
 from dunepulley.net.service import Service
 from dunepulley.routing.commands import SendGossip
 from dunepulley.routing.events import GossipReceived, ListUpdateKind
-from dunepulley.routing.gossip import SILENT_MS
+from dunepulley.routing.gossip import SENDER_TIMEOUT_MS
 
 # Of each endpoint: how many requests it runs at once, and for how long, in s.
 SLOTS = 2
@@ -112,7 +112,7 @@
             self.stack.push_async_callback(self.services[-1].close)
         await until(lambda: len(self.watches) == len(self.shapes))
         # Those that aggregate listen for a while before they gossip: the test is of what comes then.
-        ready = self.services[-1].core.clock() + SILENT_MS / 2
+        ready = self.services[-1].core.clock() + SENDER_TIMEOUT_MS / 2
         await until(lambda: self.services[-1].core.clock() > ready)
         return self
 
@@ -131,7 +131,7 @@
             parse_endpoint_list(known, ListUpdateKind.FROM_DISK),
             SETTINGS | (PRESENT if present else FORMER) | {"me": float(number)},
             peers=tuple(self.addresses) if present else (),
-            by_key=present,
+            affinity_key_in_path=present,
         )
 
     async def send(self, number, turn):
--- a/tests/net/test_outcomes.py
+++ b/tests/net/test_outcomes.py
@@ -63,7 +63,7 @@
         writer.write(request("/look/1"))
         await until(lambda: late.coming)
         WAYS[way](writer)
-        await until(lambda: not rig.clients.waiting)
+        await until(lambda: not rig.frontend.waiting)
         late.up.set()
         await until(lambda: not rig.core.requests and not rig.service.upstream.tasks)
         assert not posts(rig)
@@ -100,7 +100,7 @@
 @on_loop
 async def test_a_client_that_goes_while_its_item_is_held_has_nothing_sent(way):
     async with DispatcherRig(lambda call: ACCEPTED) as rig:
-        brain = rig.core.dispatcher
+        brain = rig.core.router
         await until(lambda: brain.endpoints.all)
         brain.endpoints.all[0].other_slots = 9.0  # no available slot there
         _, writer = await rig.connect()
@@ -125,7 +125,7 @@
         await until(lambda: job.answer.done())
         writer.transport.abort()
         assert (await told).target == "204"
-        await until(lambda: not rig.core.requests and not rig.clients.waiting)
+        await until(lambda: not rig.core.requests and not rig.frontend.waiting)
         assert not rig.core.counters["faults"]
         await serves(rig, "b")
 
@@ -156,7 +156,7 @@
 @on_loop
 async def test_idle_clients_fill_the_descriptors_while_discovery_is_down_and_it_is_heard_again(monkeypatch):
     # What is reserved for discovery, workers and callbacks is not given to clients; idle ones give way.
-    monkeypatch.setattr("dunepulley.net.frontend.connection_table.IDLE_S", 0.0)
+    monkeypatch.setattr("dunepulley.net.frontend.connection_table.MIN_IDLE_S", 0.0)
     up = asyncio.Event()
 
     async def watch(call):
@@ -174,7 +174,7 @@
         rig.discovery = agent
         async with rig:
             await until(lambda: agent.seen)
-            server = rig.clients.server
+            server = rig.frontend.server
             idle = [await rig.connect() for _ in range(3 * server.limit)]
             await until(lambda: len(server.accepted) == server.limit == 36)
             await serves(rig, "b")
@@ -201,10 +201,10 @@
         await until(lambda: rig.core.counters["taken"] == 40)
         for writer in writers:
             writer.transport.abort()
-        await until(lambda: not rig.clients.waiting)
+        await until(lambda: not rig.frontend.waiting)
         late.up.set()
         await until(lambda: not rig.core.requests and not rig.service.upstream.tasks)
-        assert not posts(rig) and not rig.core.dispatcher.lifecycle.requests
+        assert not posts(rig) and not rig.core.router.lifecycle.requests
         await serves(rig, "b")
 
 
@@ -224,7 +224,7 @@
         writer.write(head + b"x" * 1_000_000)
         assert (await read_message(reader)).target == status
         assert await reader.read() == b""
-        await until(lambda: not rig.clients.server.accepted)
+        await until(lambda: not rig.frontend.server.accepted)
         await serves(rig, "b")
         writer.close()
 
@@ -237,11 +237,11 @@
 async def test_what_is_owed_at_the_end(busy, raw, unsent, owes):
     async with DispatcherRig(lambda call: ACCEPTED) as rig:
         _, writer = await rig.connect()
-        await until(lambda: rig.clients.server.accepted)
-        (connection,) = rig.clients.server.accepted
+        await until(lambda: rig.frontend.server.accepted)
+        (connection,) = rig.frontend.server.accepted
         connection.is_busy, connection.buffer.received = busy, bytearray(raw)
         connection.transport.get_write_buffer_size = lambda: unsent
-        assert rig.clients.server.owes_responses() is owes
+        assert rig.frontend.server.has_unsent_responses() is owes
         writer.close()
 
 
--- a/tests/net/test_pinned_library.py
+++ b/tests/net/test_pinned_library.py
@@ -97,7 +97,7 @@
     async with FakeServer(lambda call: SILENT) as peer, Carrier() as carrier:
         connector = carrier.session.connector
         before = connector.limit
-        carrier.share(0.5)
+        carrier.set_connection_fraction(0.5)
         assert connector.limit < before, "setting _limit does not change the limit"
         connector._limit = 1
         url = f"http://{peer.address}/ping"
--- a/tests/net/test_scale_process.py
+++ b/tests/net/test_scale_process.py
@@ -63,7 +63,7 @@
 
 def take_events(core):
     events, core.events = core.events, []
-    core.dispatcher.handle(core.now, events)
+    core.router.handle(core.now, events)
     return events
 
 
@@ -253,7 +253,7 @@
                 for endpoint in brain.endpoints.all
                 if endpoint.state != EndpointState.REMOVED
             }
-            for brain in (core.dispatcher, twin.dispatcher)
+            for brain in (core.router, twin.router)
         ]
         assert states[0] == states[1]
 
@@ -304,7 +304,7 @@
     known = [one | {"locality": "ab"[number % 2]} for number, one in enumerate(told_members())]
     core = core_of(known, zone="a")
     core.endpoints.follower = CountingFollower("n0", "a")
-    core.endpoints.follower.take(plan_application.PlanLease(LEFT_A, core.now + 60_000.0))
+    core.endpoints.follower.accept(plan_application.PlanLease(LEFT_A, core.now + 60_000.0))
     core._refresh_endpoints()
     take_events(core)
     return core, known
@@ -318,7 +318,7 @@
         core.now += 250.0
         core._on_refresh_due(EndpointRefreshDue())
         # Confirmed by the agent, as twice a second.
-        core.endpoints.follower.take(plan_application.PlanLease(LEFT_A, core.now + 60_000.0))
+        core.endpoints.follower.accept(plan_application.PlanLease(LEFT_A, core.now + 60_000.0))
     assert core.endpoints.follower.looks == looks and core.endpoints.ready_ids == {
         f"w{number}" for number in range(1, MANY, 2)
     }
@@ -329,7 +329,7 @@
     assert core.endpoints.follower.looks == looks + 1 and "w1" not in core.endpoints.ready_ids
     take_events(core)
     # One that is sick, a drain, its end, and the end of the plan are seen, too.
-    core.dispatcher.endpoints.find("w3").ejection_ms = 500.0
+    core.router.endpoints.find("w3").ejection_ms = 500.0
     core._on_refresh_due(EndpointRefreshDue())
     assert core.endpoints.follower.looks == looks + 2
     short = drains.Drain("worker", "w5", "me", "", 0.0, core.now + 900.0, 0)
@@ -372,7 +372,7 @@
             held = plan_application.PlanLease(
                 LEFT_A._replace(number=revision), now + chance.choice([300.0, 3000.0])
             )
-            assert remembered.take(held) == fresh.take(held)
+            assert remembered.accept(held) == fresh.accept(held)
         ready = view.ready(now, entries, drains.DrainSet())
         assert ready == [entry for entry in entries.values() if entry.state == EndpointState.READY]
         seen = view.visible(now, remembered, ready, sick, {""})
@@ -384,7 +384,7 @@
 @on_loop
 async def test_what_is_told_of_zones_takes_one_pass_and_is_the_sum_of_its_workers():
     core, known = core_by_plan()
-    brain = core.dispatcher
+    brain = core.router
     brain.endpoints.slots_by_kind = CountingMap({"box": 3.0, "other": 2.0})
     find = brain.endpoints.find
     find("w2").kind = "other"
@@ -425,7 +425,7 @@
     views = await viewed()
     assert not asked and views["w3"]["state"] == views["w3"]["listed"] == EndpointState.READY
     assert views["w3"]["drains"] == [] and views["w3"]["slots"] == 1.0 and len(views) == 5
-    drain = drains.Drain("worker", "w3", "me", "", 0.0, drains.NEVER, 0)
+    drain = drains.Drain("worker", "w3", "me", "", 0.0, drains.INFINITY, 0)
     core.endpoints.drains = drains.set_drain(core.endpoints.drains, drain, 0.0)
     views = await viewed()
     assert asked and views["w3"]["state"] == EndpointState.DRAINING and len(views["w3"]["drains"]) == 1
--- a/tests/net/test_service.py
+++ b/tests/net/test_service.py
@@ -80,9 +80,9 @@
     path.write_text(json.dumps(TOLD))
     start = config.read({"ROUTER_CONFIG": str(path), "ROUTER_LISTEN": "127.0.0.2:80", "ROUTER_NAME": "n4"})
     assert (start.name, start.listen, start.discovery) == ("n4", ("127.0.0.2", 80), "127.0.0.1:8500")
-    assert (start.seed, start.sockets, start.known.revision) == (0x8C1F30D27A5BE964, 512, 41)
+    assert (start.seed, start.max_descriptors, start.initial_list.revision) == (0x8C1F30D27A5BE964, 512, 41)
     w0 = EndpointEntry("w0", "here", "box", "1", EndpointState.READY, 1.0, 1700000000000.0)
-    assert start.known.update == EndpointListUpdate(ListUpdateKind.FROM_DISK, (w0,))
+    assert start.initial_list.update == EndpointListUpdate(ListUpdateKind.FROM_DISK, (w0,))
     assert main(["check", "--config", str(path)]) == 0
     assert "categories: look, store" in capsys.readouterr().out
     assert main(["version"]) == 0 and capsys.readouterr().out.startswith("dunepulley ")
@@ -134,7 +134,11 @@
     path.write_text(json.dumps(TOLD | more | {"settings": settings}))
     start = config.read({"ROUTER_CONFIG": str(path)})
     # Guards against a module that tells notes which nobody carries, and waits for none to come.
-    assert start.peers == peers and start.settings["policyLimits.peers"] is notes and not start.by_key
+    assert (
+        start.peers == peers
+        and start.settings["policyLimits.peers"] is notes
+        and not start.affinity_key_in_path
+    )
 
 
 def test_an_address_in_use_ends_with_a_plain_line(tmp_path, capfd):
@@ -346,13 +350,13 @@
     entering = asyncio.create_task(rig.__aenter__())
     await until(lambda: rig.discovery.seen)
     if speaks:
-        assert not rig.service.clients.listener.accepting
+        assert not rig.service.frontend.listener.accepting
         rig.discovery.announce(
             members(member("w0", rig.endpoints[0].address, phase="Terminating"), revision=9)
         )
         await until(lambda: rig.service.watch.first_message.is_set())
-    await until(lambda: rig.service.clients.listener.accepting)
-    assert rig.service.clients.can_take() is not speaks
+    await until(lambda: rig.service.frontend.listener.accepting)
+    assert rig.service.frontend.accepts_clients() is not speaks
     entering.cancel()
     await asyncio.gather(entering, return_exceptions=True)
     await rig.__aexit__()
--- a/tests/net/test_short_timeouts.py
+++ b/tests/net/test_short_timeouts.py
@@ -61,8 +61,8 @@
 
             rig.core.queue.put_nowait = held_back
             await client.send(request(target, b"x", KEY, "X-Call-Cost: 100", budget=budget))
-            await until_true(lambda: "a" in rig.clients.waiting)
-            answered = rig.clients.waiting["a"].answer
+            await until_true(lambda: "a" in rig.frontend.waiting)
+            answered = rig.frontend.waiting["a"].answer
             barred = rig.core.counters
             await until_true(lambda: notes.begun or barred["ho barred"] or answered.done())
             begun = list(notes.begun)
@@ -89,14 +89,14 @@
         loop = asyncio.get_running_loop()
         late = LateConnections(rig) if held_up == "late connection" else None
         if held_up == "decision":
-            handle = rig.core.dispatcher.handle
+            handle = rig.core.router.handle
 
             def held(now, events):
-                rig.core.dispatcher.handle = handle
+                rig.core.router.handle = handle
                 time.sleep(HOLD_UP_S)
                 return handle(now, events)
 
-            rig.core.dispatcher.handle = held
+            rig.core.router.handle = held
         begun = loop.time()
         # So little work that it may yet be done in time.
         await client.send(request(target, b"x", KEY, "X-Call-Cost: 100", budget=budget))
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -197,33 +197,33 @@
         async with ClientSocket(rig.service.port) as client:
             await client.send(request("/look/1"))
             await accepted.wait()
-            closing = asyncio.create_task(rig.clients.close())
-            await until(lambda: rig.clients.listener.socket is None)
+            closing = asyncio.create_task(rig.frontend.close())
+            await until(lambda: rig.frontend.listener.socket is None)
             goes_on.set()
             await made.wait()
             assert not closing.done()
             await closing
-            assert not rig.clients.server.accepted
+            assert not rig.frontend.server.accepted
             assert (await client.ending()).verdict in ("503", NOT_READ)
 
 
 @on_loop
 async def test_an_answer_that_is_read_slowly_at_the_end_is_waited_for():
     async with brief() as rig, ClientSocket(rig.service.port, receive_buffer=4096) as client:
-        await until(lambda: rig.clients.server.accepted)
-        (connection,) = rig.clients.server.accepted
+        await until(lambda: rig.frontend.server.accepted)
+        (connection,) = rig.frontend.server.accepted
         transport = connection.transport
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         await client.send(request("/look/1"))
-        await until(lambda: "a" in rig.clients.waiting)
+        await until(lambda: "a" in rig.frontend.waiting)
         # Less than what has the library wait for the client, and more than the sockets hold.
         body = b"x" * 60_000
-        rig.clients.waiting["a"].settle(Answer(AttemptEnded, body))
+        rig.frontend.waiting["a"].settle(Answer(AttemptEnded, body))
         await until(transport.get_write_buffer_size)
         await rig.service.finish()
         assert transport.get_write_buffer_size()
-        closing = asyncio.create_task(rig.clients.close())
-        await asyncio.wait([closing], timeout=server.LAST_ANSWERS_S / 2)
+        closing = asyncio.create_task(rig.frontend.close())
+        await asyncio.wait([closing], timeout=server.FINAL_RESPONSES_TIMEOUT_S / 2)
         assert not closing.done() and transport.get_write_buffer_size()
         assert (await client.ending()).body == body
         await closing
--- a/tests/net/test_wall_clock.py
+++ b/tests/net/test_wall_clock.py
@@ -53,7 +53,7 @@
 stepped = pytest.mark.parametrize("step", STEPS)
 
 
-def drain(until=drains.NEVER, name="w0"):
+def drain(until=drains.INFINITY, name="w0"):
     return drains.Drain("worker", name, "ana", "", 0.0, until, 0)
 
 
@@ -144,7 +144,7 @@
             json.loads(json.dumps(drain_json.encode_drain_set(read, clock))), started
         )
         assert left(again, started) == 8 * MINUTE
-        assert [each.expires_ms for each in read.drains if each.target == "w1"] == [drains.NEVER]
+        assert [each.expires_ms for each in read.drains if each.target == "w1"] == [drains.INFINITY]
 
 
 @pytest.mark.parametrize("step", [0.0, *STEPS])
@@ -259,7 +259,7 @@
 @on_loop
 async def test_what_is_left_of_a_drain_is_written_anew(tmp_path, monkeypatch):
     # Over a boot of the host a span counts from when it was last written.
-    monkeypatch.setattr(drain_store, "REWRITE_S", 0.005)
+    monkeypatch.setattr(drain_store, "TIME_LEFT_REFRESH_S", 0.005)
     source = SteppedTime()
     here = agent_on(tmp_path, source)
     path = here.config.drains_path
@@ -269,7 +269,7 @@
     monkeypatch.setattr(
         drains.DrainSet, "next_expiry_ms", lambda *what: looks.append(what) or next_end(*what)
     )
-    task = asyncio.create_task(here.drain_store.keep_time_left_recent())
+    task = asyncio.create_task(here.drain_store.refresh_time_left())
     await set_drain(here, "w1")  # one without an end needs none
     looks.clear()
     await until(lambda: len(looks) > 2)
@@ -286,7 +286,7 @@
 async def test_an_agent_tells_dispatchers_what_is_left(tmp_path):
     # The agent's clock is years behind the dispatcher's, and both are right about spans.
     async with DispatcherRig(lambda call: b"") as rig:
-        here = agent_on(tmp_path, SteppedTime(), rig.service.console_port)
+        here = agent_on(tmp_path, SteppedTime(), rig.service.admin_port)
         await set_drain(here, for_s=600)
         look = asyncio.create_task(here.supervisor.watch(here.dispatchers["n0"]))
         await until(lambda: rig.core.endpoints.drains.revision == 1)
@@ -303,7 +303,7 @@
         )
         await rig.core.ask(DrainsChanged, held)
         assert not rig.core.can_serve()
-        here = agent_on(tmp_path, SteppedTime(), rig.service.console_port)
+        here = agent_on(tmp_path, SteppedTime(), rig.service.admin_port)
         drain_file.save(here.config.drains_path, here.drains, here.clock)
         look = asyncio.create_task(here.supervisor.watch(here.dispatchers["n0"]))
         await until(rig.core.can_serve)
@@ -344,7 +344,7 @@
             self.core.put(message)
         await self.settle()
 
-    def take(self, category, budget):
+    def accept(self, category, budget):
         job = PendingRequest(RequestArrived("a", category, budget), self.clock(), "/look/1", {}, b"x")
         self.core.put(RequestReceived(job))
         return job
@@ -374,7 +374,7 @@
 @on_loop
 async def test_a_deadline_is_neither_prolonged_nor_cut(step):
     async with Case() as case:
-        case.take("look", 4000.0)
+        case.accept("look", 4000.0)
         case.source.step(step)
         case.source.run(500.0)  # waits for its batch
         await case.settle()
@@ -393,7 +393,7 @@
 async def test_a_window_for_repeats_lasts_its_time(step, after, again):
     workers = [member(f"w{n}", f"127.0.0.1:{n + 1}") for n in range(2)]
     async with Case(*workers, categories__1__dueTimeMs=4900.0) as case:
-        case.take("store", 4900.0)
+        case.accept("store", 4900.0)
         await case.settle()
         case.source.step(step)
         case.source.run(after)
@@ -545,11 +545,11 @@
         case.source.run(STARTED)
         new = member("w0", "127.0.0.1:1", up_since_ms=started(case.source, step))
         await case.say(parse_endpoint_list(members(new, complete=False)))
-        module = case.core.dispatcher
+        module = case.core.router
         endpoints = [module.endpoints.find(name) for name in ("w0", "w1")]
         ages = [module.warm_up.age_ms(endpoint, module.now) for endpoint in endpoints]
         assert 0.0 <= ages[0] <= STARTED and ages[1] == 30 * MINUTE + STARTED
-        assert module.warm_up.capacity_part(endpoints[0], module.now) < 0.5
+        assert module.warm_up.capacity_fraction(endpoints[0], module.now) < 0.5
 
 
 # ---------------------------------------------------------------- a hot restart
@@ -584,7 +584,7 @@
         source = SteppedTime()
         old = service(stack, source)
         old.core.endpoints.drains = drained(old.core.clock, 10 * MINUTE)
-        old.core.endpoints.follower.take(plan_application.PlanLease(PLAN, old.core.clock() + 4000.0))
+        old.core.endpoints.follower.accept(plan_application.PlanLease(PLAN, old.core.clock() + 4000.0))
         source.run(1000.0)
         inherited = passed(old)
         if at == "before the child starts":
@@ -595,24 +595,24 @@
         assert new.drains_at_start() == old.core.endpoints.drains
         new.inherit_plan()
         source.run(2999.0)
-        assert new.core.endpoints.follower.holds(new.core.clock())
+        assert new.core.endpoints.follower.has_valid_plan(new.core.clock())
         source.run(1.0)
-        assert not new.core.endpoints.follower.holds(new.core.clock())
+        assert not new.core.endpoints.follower.has_valid_plan(new.core.clock())
         # What was learned holds moments, too.
         until_then = old.core.clock() + 5000.0
-        for module in (old.core.dispatcher, new.core.dispatcher):
+        for module in (old.core.router, new.core.router):
             module.handle(
                 old.core.clock(),
                 [EndpointListUpdate(ListUpdateKind.FULL, (endpoint_entry(0), endpoint_entry(1)))],
             )
-        old.core.dispatcher.endpoints.all[0].ejected_until_ms = until_then
+        old.core.router.endpoints.all[0].ejected_until_ms = until_then
         warm_state.import_state(
-            new.core.dispatcher, json.loads(json.dumps(warm_state.export_state(old.core.dispatcher)))
+            new.core.router, json.loads(json.dumps(warm_state.export_state(old.core.router)))
         )
         source.run(4999.0)
-        assert new.core.clock() < new.core.dispatcher.endpoints.all[0].ejected_until_ms
+        assert new.core.clock() < new.core.router.endpoints.all[0].ejected_until_ms
         source.run(1.0)
-        assert new.core.clock() >= new.core.dispatcher.endpoints.all[0].ejected_until_ms
+        assert new.core.clock() >= new.core.router.endpoints.all[0].ejected_until_ms
 
 
 @stepped
@@ -647,8 +647,7 @@
         tasks.append(asyncio.create_task(child.core.run()))
         await child.core.ask(DrainsChanged, child.core.endpoints.drains)
         since = [
-            [one.core.dispatcher.endpoints.find(name).started_ms for name in ("w0", "w1")]
-            for one in (old, child)
+            [one.core.router.endpoints.find(name).started_ms for name in ("w0", "w1")] for one in (old, child)
         ]
         assert since[0] == since[1] and since[1][1] == warm["up_since_ms"]
         for task in tasks:
@@ -710,14 +709,14 @@
 async def test_a_plan_holds_for_its_time(step):
     async with Case() as case:
         case.core.endpoints.follower = plan_application.Follower("n0", "here")
-        case.core.endpoints.follower.take(plan_application.PlanLease(PLAN, case.clock() + 4000.0))
+        case.core.endpoints.follower.accept(plan_application.PlanLease(PLAN, case.clock() + 4000.0))
         case.source.step(step)
         case.source.run(3999.0)
         await case.settle()
-        assert case.core.endpoints.follower.holds(case.core.now)
+        assert case.core.endpoints.follower.has_valid_plan(case.core.now)
         case.source.run(1.0)
         await case.settle()
-        assert not case.core.endpoints.follower.holds(case.core.now)
+        assert not case.core.endpoints.follower.has_valid_plan(case.core.now)
 
 
 @stepped
--- a/tests/routing/test_endpoints.py
+++ b/tests/routing/test_endpoints.py
@@ -16,7 +16,7 @@
     table = EndpointTable("7")
     for number in range(count):
         endpoint = table.add(f"w{number}", 0.0)
-        table.describe(endpoint, EndpointEntry(endpoint.endpoint_id, kind=kind))
+        table.set_location_and_kind(endpoint, EndpointEntry(endpoint.endpoint_id, kind=kind))
         table.set_state(endpoint, READY)
     table.refresh_orders()
     return table
@@ -79,18 +79,18 @@
 def test_endpoints_of_one_kind_have_the_most_slots_that_one_was_seen_with():
     table = table_of(2)
     large = table.add("large", 0.0)
-    table.describe(large, EndpointEntry("large", kind="large"))
+    table.set_location_and_kind(large, EndpointEntry("large", kind="large"))
     table.raise_slots("box", 4.0)
     assert [endpoint.slots for endpoint in table.all] == [4.0, 4.0, 1.0]
     late = table.add("late", 0.0)
-    table.describe(late, EndpointEntry("late", kind="box"))
+    table.set_location_and_kind(late, EndpointEntry("late", kind="box"))
     assert late.slots == 4.0
 
 
 def test_a_restart_forgets_what_was_learned_and_keeps_what_the_list_says():
     table = table_of(1)
     (endpoint,) = table.all
-    table.size(endpoint, 2.0, 9.0)
+    table.set_capacity(endpoint, 2.0, 9.0)
     endpoint.rate = endpoint.other_slots = endpoint.error_score = endpoint.ejected_until_ms = 3.0
     endpoint.last_report, endpoint.own_slots = {"rate": 3.0}, 1.0
     endpoint.reset(70.0)
@@ -104,5 +104,5 @@
 def test_the_capacity_of_some_endpoints_together():
     table = table_of(3)
     for number, endpoint in enumerate(table.all):
-        table.size(endpoint, float(number), 0.0)
+        table.set_capacity(endpoint, float(number), 0.0)
     assert total_capacity(table.all) == 3.0 and total_capacity([]) == 0.0
--- a/tests/routing/test_rendezvous.py
+++ b/tests/routing/test_rendezvous.py
@@ -6,14 +6,14 @@
 import pytest
 
 from dunepulley.routing.hashing import fnv1a_64
-from dunepulley.routing.rendezvous import KeyOrder, part_of
+from dunepulley.routing.rendezvous import KeyOrder, unit_fraction
 
 
 def whole_order(key, ready, hashes, capacities):
     """All ready endpoints in the key's order, by the definition."""
     own = fnv1a_64(key)
     return sorted(
-        [(-log(part_of(own ^ hashes[index]) + 1e-12) / capacities[index], index) for index in ready]
+        [(-log(unit_fraction(own ^ hashes[index]) + 1e-12) / capacities[index], index) for index in ready]
     )
 
 
@@ -29,7 +29,7 @@
         order = KeyOrder(key)
         order.build(least, range(count), hashes, capacities)
         whole = whole_order(key, range(count), hashes, capacities)
-        assert order.places == whole[: len(order.places)] and len(order.places) >= least
+        assert order.entries == whole[: len(order.entries)] and len(order.entries) >= least
 
 
 def test_changes_leave_it_as_if_built_anew():
@@ -47,10 +47,10 @@
                 capacities[index] = random.choice((0.5, 1.0, 2.0, 3.0))
             else:
                 ready ^= {index}
-        order.take_in(changed, hashes, capacities, {index: index in ready for index in changed})
+        order.apply_changes(changed, hashes, capacities, {index: index in ready for index in changed})
         whole = whole_order("key", ready, hashes, capacities)
-        assert order.places == [place for place in whole if place[0] <= order.bound]
-    assert len(order.places) > 40
+        assert order.entries == [place for place in whole if place[0] <= order.bound]
+    assert len(order.entries) > 40
 
 
 def test_a_trimmed_order_keeps_its_head_and_takes_changes_in():
@@ -58,7 +58,7 @@
     order = KeyOrder("key")
     order.build(300, range(500), hashes, capacities)
     order.trim(40)
-    assert order.places == whole_order("key", range(500), hashes, capacities)[:40]
-    order.take_in({7: 1.0}, hashes, capacities, {7: False})
+    assert order.entries == whole_order("key", range(500), hashes, capacities)[:40]
+    order.apply_changes({7: 1.0}, hashes, capacities, {7: False})
     left = whole_order("key", [index for index in range(500) if index != 7], hashes, capacities)
-    assert order.places == left[: len(order.places)] and len(order.places) >= 39
+    assert order.entries == left[: len(order.entries)] and len(order.entries) >= 39
--- a/tests/routing/test_request.py
+++ b/tests/routing/test_request.py
@@ -47,7 +47,7 @@
 def test_a_request_begins_with_the_choice_of_an_endpoint():
     request = new_request()
     assert request.state is DISPATCHING and not request.is_answered
-    assert request.attempts == [] and request.attempts_out == request.generation == 0
+    assert request.attempts == [] and request.attempts_in_flight == request.generation == 0
 
 
 @pytest.mark.parametrize("after", RequestState)
--- a/tests/routing/test_request_queue.py
+++ b/tests/routing/test_request_queue.py
@@ -34,5 +34,5 @@
     rig.router.subset.arrivals_per_endpoint_s = 2.0
     rig.router.list_updates.choose_subset(rig.now)
     set_other_slots(rig, 0.0)
-    rig.router.queue.wake()
+    rig.router.queue.mark_capacity_changed()
     assert commands_of(StartAttempt, rig.feed(after=1.0))
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -88,9 +88,9 @@
     budget, request = rig.router.retry_budget, in_flight_request(rig)
     rig.router.classes.mean_slot_ms = 200.0
     budget.balance = 0.5
-    assert budget.affords(request)
+    assert budget.can_afford(request)
     budget.spend(request)
-    assert budget.balance == 0.0 and not budget.affords(request)
+    assert budget.balance == 0.0 and not budget.can_afford(request)
 
 
 def test_the_budget_holds_twenty_retries_at_most():
@@ -119,7 +119,7 @@
     rig = RouterRig(policyLimits__mostHandOffs=1.0)
     budget, request = rig.router.retry_budget, in_flight_request(rig)
     budget.balance = 20.0
-    assert not budget.affords(request)
+    assert not budget.can_afford(request)
 
 
 @pytest.mark.parametrize(
--- a/tests/routing/test_settings.py
+++ b/tests/routing/test_settings.py
@@ -56,8 +56,8 @@
     assert settings.retries.answer_slack_ms == 2.0 and settings.retries.max_retry_after_ms == 0.0
     assert not settings.retries.hedging and not settings.retries.can_cancel
     assert settings.reports.source == "none" and not settings.reports.can_check_health
-    assert not settings.reports.tells_start and not settings.reports.reports_queue
-    assert settings.over_quota_factor == 1.0 and not settings.paid_by_work
+    assert not settings.reports.reports_start and not settings.reports.reports_queue
+    assert settings.over_quota_factor == 1.0 and not settings.value_scales_with_work
     assert (settings.dispatcher_count, settings.dispatcher_number) == (1.0, 0)
     assert settings.rank_name == settings.zone == "" and not settings.gossip
     assert not settings.capacity_is_live and settings.connection_idle_ms is None
--- a/tests/routing/test_subset.py
+++ b/tests/routing/test_subset.py
@@ -102,7 +102,7 @@
 
 def test_a_dispatcher_with_much_traffic_uses_a_larger_subset():
     dispatcher = dispatcher_of()
-    dispatcher.subset.wanted = 4000.0
+    dispatcher.subset.target_size = 4000.0
     dispatcher.list_updates.choose_subset(dispatcher.now)
     assert len(in_use(dispatcher)) >= 0.9 * 4000.0 / 2
 
@@ -158,8 +158,8 @@
         subset.record_arrival()
     subset.measure_traffic(2000.0)
     # Ten requests in two seconds, of connections that are kept for ten seconds.
-    assert subset.wanted == 50.0 and subset.arrivals_per_endpoint_s == 10 / 2 / 100
+    assert subset.target_size == 50.0 and subset.arrivals_per_endpoint_s == 10 / 2 / 100
     subset.choose(rig.now)
-    assert len(in_use_of(rig)) == 50 and not subset.is_whole()
+    assert len(in_use_of(rig)) == 50 and not subset.includes_all()
     subset.measure_traffic(2000.0)
-    assert subset.wanted == 45.0 and subset.arrivals_per_endpoint_s == 0.0
+    assert subset.target_size == 45.0 and subset.arrivals_per_endpoint_s == 0.0
--- a/tests/routing/test_timers.py
+++ b/tests/routing/test_timers.py
@@ -1,6 +1,6 @@
 """Timers: what is due runs in order, and one alarm is asked for at a time."""
 
-from dunepulley.routing.timers import NEVER, TimerQueue
+from dunepulley.routing.timers import INFINITY, TimerQueue
 
 
 def test_due_actions_run_by_time_and_then_in_the_order_of_scheduling():
@@ -29,7 +29,7 @@
 
 def test_an_alarm_is_asked_for_only_where_the_one_that_is_set_rings_too_late():
     timers = TimerQueue()
-    assert timers.next_alarm() is None and timers.alarm_at_ms == NEVER
+    assert timers.next_alarm() is None and timers.alarm_at_ms == INFINITY
     timers.schedule(50.0, lambda now: None)
     assert timers.next_alarm() == 50.0 and timers.token == 1
     # Later and equal ones need none.
@@ -46,7 +46,7 @@
     timers.next_alarm()
     timers.schedule(40.0, lambda now: None)
     timers.next_alarm()
-    timers.alarm_rang(1)
+    timers.alarm_fired(1)
     assert timers.next_alarm() is None and timers.alarm_at_ms == 40.0
-    timers.alarm_rang(2)
+    timers.alarm_fired(2)
     assert timers.next_alarm() == 40.0 and timers.token == 3
--- a/tests/routing/test_weights.py
+++ b/tests/routing/test_weights.py
@@ -79,7 +79,7 @@
     rig = RouterRig(endpoints=len(loads))
     for endpoint, (rate, queue_length, rejections) in zip(endpoints_of(rig), loads, strict=True):
         # Busy, so that the rate is what it can serve; a rate of -1 is unknown.
-        endpoint.busy, endpoint.reported_ms = 1.0, rig.now
+        endpoint.used_slots_mean, endpoint.reported_ms = 1.0, rig.now
         endpoint.rate, endpoint.queue_length, endpoint.rejections = rate, queue_length, rejections
     rig.router.weights.update(rig.now)
     assert not any([endpoint.rejections for endpoint in endpoints_of(rig)])
@@ -122,7 +122,7 @@
     rig = RouterRig(endpoints=4)
     for _ in range(20):
         for endpoint in endpoints_of(rig):
-            endpoint.rate, endpoint.busy, endpoint.queue_length = 5.0, 1.0, 0.0
+            endpoint.rate, endpoint.used_slots_mean, endpoint.queue_length = 5.0, 1.0, 0.0
         idle = endpoints_of(rig)[0]
         idle.rate, idle.queue_length = 0.0, 30.0
         rig.router.weights.update(rig.now)
--- a/tests/simulation/test_model.py
+++ b/tests/simulation/test_model.py
@@ -11,22 +11,22 @@
 
 from dunepulley.__main__ import main
 from dunepulley.model import compare
-from dunepulley.model.day import Category, Day, Trouble, day_of, zone_of
 from dunepulley.model.routing_loader import UnusableVersionError, load_router
+from dunepulley.model.scenario import Disturbance, RequestClass, Scenario, day_of, zone_of
+from dunepulley.model.server import Job, ModelServer
 from dunepulley.model.simulated_time import BEGIN, SimulatedTime
-from dunepulley.model.worker import Job, Worker
-from dunepulley.model.world import World
+from dunepulley.model.simulation import Simulation
 from dunepulley.routing import router
 from dunepulley.routing.events import EndpointListUpdate, EndpointState
 from dunepulley.routing.lifecycle import RequestLifecycle
 from dunepulley.routing.settings import Idempotency
 
-LOOK = Category("look", 0.6, 80.0, due_ms=300.0, expiry_ms=3000.0)
-STORE = Category(
+LOOK = RequestClass("look", 0.6, 80.0, due_ms=300.0, expiry_ms=3000.0)
+STORE = RequestClass(
     "store", 0.2, 200.0, effect=Idempotency.KEYED, group="cell", window_ms=2000.0, expiry_ms=4000.0
 )
-PAY = Category("pay", 0.2, 100.0, payoff=4.0, effect=Idempotency.NON_IDEMPOTENT, expiry_ms=4000.0)
-ROUGH = Day(
+PAY = RequestClass("pay", 0.2, 100.0, payoff=4.0, effect=Idempotency.NON_IDEMPOTENT, expiry_ms=4000.0)
+ROUGH = Scenario(
     seconds=8.0,
     workers=6,
     load=0.7,
@@ -34,34 +34,34 @@
     list_delay_ms=400.0,
     categories=(LOOK, STORE, PAY),
     troubles=(
-        Trouble("slow", 1.0, 4.0, 0.2, 8.0),
-        Trouble("neighbour", 2.0, 6.0, 0.3, 0.6),
-        Trouble("crash", 2.0, 3.0, 0.2, 1.0),
-        Trouble("release", 3.0, 5.0, 0.4, 0.0),
-        Trouble("late reports", 1.0, 6.0, 0.0, 1500.0),
-        Trouble("late list", 4.0, 6.0, 0.0, 500.0),
-        Trouble("heavy", 2.0, 6.0, 0.02, 15.0),
+        Disturbance("slow", 1.0, 4.0, 0.2, 8.0),
+        Disturbance("neighbour", 2.0, 6.0, 0.3, 0.6),
+        Disturbance("crash", 2.0, 3.0, 0.2, 1.0),
+        Disturbance("release", 3.0, 5.0, 0.4, 0.0),
+        Disturbance("late reports", 1.0, 6.0, 0.0, 1500.0),
+        Disturbance("late list", 4.0, 6.0, 0.0, 500.0),
+        Disturbance("heavy", 2.0, 6.0, 0.02, 15.0),
     ),
 )
 
 
 @pytest.mark.parametrize("seed", [1, 2, 3])
 def test_a_rough_day_keeps_the_rules_and_is_the_same_each_time(seed):
-    one, two = World(ROUGH, seed).run(), World(ROUGH, seed).run()
+    one, two = Simulation(ROUGH, seed).run(), Simulation(ROUGH, seed).run()
     assert one == two and not one["broken"]
     ends = one["in time"] + one["late"] + one["deferred"] + one["written off"]
     assert ends == one["items"] > 300 and 0.5 < one["payoff"] < 1.0
-    assert World(ROUGH, seed + 10).run()["items"] != one["items"]
+    assert Simulation(ROUGH, seed + 10).run()["items"] != one["items"]
 
 
 def test_other_decisions_see_the_same_day():
     """What is drawn does not follow what is decided, or pairs would not be pairs."""
-    worlds = [World(ROUGH, 4), World(ROUGH, 4, settings={"policyLimits.mostHandOffs": 1.0})]
-    runs = [world.run() for world in worlds]
+    worlds = [Simulation(ROUGH, 4), Simulation(ROUGH, 4, settings={"policyLimits.mostHandOffs": 1.0})]
+    runs = [simulation.run() for simulation in worlds]
     assert runs[0]["hand-offs"] != runs[1]["hand-offs"]
     works = [
-        {name: (request.came, request.work, request.home) for name, request in world.requests.items()}
-        for world in worlds
+        {name: (request.came, request.work, request.home) for name, request in simulation.requests.items()}
+        for simulation in worlds
     ]
     assert works[0] == works[1]
 
@@ -72,11 +72,11 @@
 class ForgetfulLifecycle(RequestLifecycle):
     """Leaves some requests without an answer."""
 
-    def answer(self, request):
+    def reject_or_fail(self, request):
         if request.request_id.endswith("7"):
             self.close(request)
         else:
-            super().answer(request)
+            super().reject_or_fail(request)
 
 
 class Forgets(router.Router):
@@ -115,21 +115,21 @@
 
     def __init__(self, *arguments):
         super().__init__(*arguments)
-        self.slow_start.has_room = lambda request, endpoint, now: True
+        self.slow_start.allows_attempt = lambda request, endpoint, now: True
 
 
 @pytest.mark.parametrize(
-    ("build", "rule", "day"),
+    ("build", "rule", "scenario"),
     [
         (Forgets, "lost", ROUGH._replace(load=2.0)),
-        (Repeats, "twice", ROUGH._replace(troubles=(Trouble("crash", 2.0, 3.0, 0.5, 1.0),))),
+        (Repeats, "twice", ROUGH._replace(troubles=(Disturbance("crash", 2.0, 3.0, 0.5, 1.0),))),
         (SendsOn, "drains", ROUGH),
         (Crowds, "cold", ROUGH._replace(load=1.5, cold_from=0.05, fall_multiple=1.0)),
     ],
 )
-def test_each_rule_is_seen_to_be_checked(build, rule, day):
-    assert not World(day, 1).run()["broken"]
-    broken = World(day, 1, build).run()["broken"]
+def test_each_rule_is_seen_to_be_checked(build, rule, scenario):
+    assert not Simulation(scenario, 1).run()["broken"]
+    broken = Simulation(scenario, 1, build).run()["broken"]
     assert broken and {each.partition(":")[0] for each in broken} == {rule}
 
 
@@ -138,7 +138,7 @@
 
 def worker(slots=2, queue=2):
     heap = SimulatedTime()
-    return heap, Worker(heap, "w", "z0", "box", "0", slots, queue, 1.0)
+    return heap, ModelServer(heap, "w", "z0", "box", "0", slots, queue, 1.0)
 
 
 def test_a_worker_runs_in_order_at_its_speed_and_turns_away_what_finds_no_place():
@@ -222,7 +222,7 @@
     shutil.copytree(Path(router.__file__).parent, version, ignore=shutil.ignore_patterns("__pycache__"))
     other = load_router(str(version / path))
     assert other is not router.Router and other.__name__ == "Router"
-    assert World(ROUGH, 1, other).run() == World(ROUGH, 1).run()
+    assert Simulation(ROUGH, 1, other).run() == Simulation(ROUGH, 1).run()
 
 
 def test_a_version_that_cannot_be_imported_leaves_nothing_behind(tmp_path):
@@ -234,14 +234,14 @@
 
 
 def test_two_versions_and_two_settings_from_the_command_line(tmp_path, capsys):
-    day, settings = tmp_path / "day.toml", tmp_path / "b.toml"
+    scenario, settings = tmp_path / "day.toml", tmp_path / "b.toml"
     text = 'seconds = 3.0\nworkers = 4\n[[category]]\nname = "look"\nwork_ms = 50.0\ndue_ms = 200.0\n'
-    day.write_text(text)
+    scenario.write_text(text)
     settings.write_text("[policyLimits]\nmostHandOffs = 1\n")
     version = tmp_path / "routing"
     shutil.copytree(Path(router.__file__).parent, version, ignore=shutil.ignore_patterns("__pycache__"))
     shorten_control_period(version)
-    words = [str(day), "--seeds", "1-4", "--processes", "1"]
+    words = [str(scenario), "--seeds", "1-4", "--processes", "1"]
     assert main(["compare", *words]) == 0 and "no difference seen; one of 0.0000" in capsys.readouterr().out
     assert main(["compare", *words, "--b", str(settings), "--b-module", str(version), "--json"]) == 0
     told = json.loads(capsys.readouterr().out)
@@ -305,10 +305,10 @@
 
 def test_a_zone_that_is_lost_is_left_in_the_model_as_on_sockets():
     # Guards against a plan that serves on sockets only: fleets that these do not reach are played here.
-    lost = (Trouble("zone", 3.0, 6.0, size=0.0),)
+    lost = (Disturbance("zone", 3.0, 6.0, size=0.0),)
     sizes = {"seconds": 12.0, "dispatchers": 6, "workers": 12, "zones": 3, "regions": 2, "zone_skew": 0.5}
-    day = Day(load=0.4, troubles=lost, **sizes)
-    common, fixed = [World(day._replace(way=way), 3).run() for way in ("common", "fixed")]
+    scenario = Scenario(load=0.4, troubles=lost, **sizes)
+    common, fixed = [Simulation(scenario._replace(way=way), 3).run() for way in ("common", "fixed")]
     assert not common["broken"] and common["crossed"] < 0.5
     states = [each["states"].get("z0", "near") for each in common["plans"]["agreed"]]
     assert states[0] == "left" and "returning" in states
@@ -318,7 +318,7 @@
 
 
 def test_zones_of_unequal_size_are_dealt_out_in_order():
-    day = Day(zones=3, zone_skew=1.0)
-    homes = [zone_of(day, number, 12) for number in range(12)]
+    scenario = Scenario(zones=3, zone_skew=1.0)
+    homes = [zone_of(scenario, number, 12) for number in range(12)]
     assert [homes.count(f"z{zone}") for zone in range(3)] == [6, 4, 2]
-    assert [zone_of(Day(zones=2), number, 4) for number in range(4)] == ["z0", "z1", "z0", "z1"]
+    assert [zone_of(Scenario(zones=2), number, 4) for number in range(4)] == ["z0", "z1", "z0", "z1"]
--- a/tests/support/dispatcher_rig.py
+++ b/tests/support/dispatcher_rig.py
@@ -51,11 +51,11 @@
             self.sockets,
             parse_endpoint_list(members(*known), ListUpdateKind.FROM_DISK),
             self.settings,
-            console=("127.0.0.1", 0),
+            admin_address=("127.0.0.1", 0),
         )
         self.service = Service(start)
         await self.service.start()
-        self.core, self.clients = self.service.core, self.service.clients
+        self.core, self.frontend = self.service.core, self.service.frontend
         await until(lambda: self.core.can_serve() or not known)
         return self
 
@@ -74,7 +74,7 @@
 
     async def admin(self, command: str) -> str:
         """What the admin interface answers to a command."""
-        reader, writer = await asyncio.open_connection("127.0.0.1", self.service.console_port)
+        reader, writer = await asyncio.open_connection("127.0.0.1", self.service.admin_port)
         writer.write(command.encode())
         writer.write_eof()
         answer = (await reader.read()).decode()
--- a/tests/support/system_call_faults.py
+++ b/tests/support/system_call_faults.py
@@ -72,7 +72,7 @@
 
     def ejected(self) -> set[str]:
         """The endpoints that get no usual turns."""
-        return inspection.ejected_endpoints(self.core.dispatcher)
+        return inspection.ejected_endpoints(self.core.router)
 
     async def callback(self, *what: Any, **more: Any) -> HttpMessage:
         """A callback, sent again as long as its connection is closed unread."""
