--- a/dunepulley/routing/affinity.py
+++ b/dunepulley/routing/affinity.py
@@ -1,7 +1,8 @@
-"""Cache affinity: requests with one key go to the same few endpoints, by weighted rendezvous hashing.
+"""Cache affinity: requests with the same key go to the same few endpoints, by weighted rendezvous hashing.
 
-The endpoints rank alike for all dispatchers, weighted by capacity, so that what a request needs stays where
-it is. The head of each key's order is kept; it takes in changes of the list when the key is next asked for.
+All dispatchers rank the endpoints in the same order, weighted by capacity, so that the data cached for a key
+stays useful. The first endpoints of each key's order are cached; changes of the endpoint list are applied to
+a cached order when its key is next used.
 """
 
 from __future__ import annotations
@@ -13,25 +14,29 @@
 from .events import EndpointState
 from .rendezvous import KeyOrder
 
-# Two at a time, so that turns decide between them; and two more than a key's part, for a busy spell.
+# The number of endpoints in a group, among which turns decide; and how many endpoints a key has beyond its
+# fraction of the traffic, for bursts.
 _GROUP_SIZE = 2
-# Of a key's order so many more are kept than are asked for, up to so many times as many.
-_KEPT_MORE, _KEPT_MULTIPLE = 32, 4
-# So many changes of the list are kept for the orders to take in; more only while no key is asked for.
-_MOST_CHANGES, _MOST_UNASKED_CHANGES = 1000, 20_000
-# About the last two hundred requests count; a key that is seldom asked for is forgotten.
-_RECENT_REQUESTS, _RECENT_KEPT, _FORGET_BELOW = 300.0, 0.5, 0.5
+# How many more endpoints of a key's order are cached than are needed, and the factor on their number above
+# which the order is trimmed.
+_EXTRA_CACHED, _MAX_CACHED_RATIO = 32, 4
+# The maximum number of changes of the list that are kept for the cached orders: checked at each refresh, and
+# the larger one between refreshes.
+_MAX_CHANGES, _MAX_UNAPPLIED_CHANGES = 1000, 20_000
+# When the request count reaches the maximum, all counts are multiplied by the decay, so that about the last
+# two hundred requests count; keys below the minimum count are dropped.
+_MAX_REQUEST_COUNT, _COUNT_DECAY, _MIN_KEY_COUNT = 300.0, 0.5, 0.5
 
 
 class CacheAffinity:
-    """The endpoints for each affinity key, and how much of the traffic the key has."""
+    """Ranks the endpoints for each affinity key, and tracks the key's fraction of the traffic."""
 
     def __init__(self, endpoints: EndpointTable) -> None:
         self._endpoints = endpoints
         self._count_of_key: dict[str, float] = {}
         self._count = 1.0
         self._orders: dict[str, KeyOrder] = {}
-        # What changed since, as (index, capacity before); and how often the orders were to take it in.
+        # A journal of changes, as (endpoint index, previous capacity), and the number of refreshes so far.
         self._changes: list[tuple[int, float]] = []
         self._epoch = 0
 
@@ -39,33 +44,33 @@
         """Count a request with a key."""
         self._count += 1.0
         self._count_of_key[key] = self._count_of_key.get(key, 0.0) + 1.0
-        if self._count > _RECENT_REQUESTS:
-            self._count *= _RECENT_KEPT
+        if self._count > _MAX_REQUEST_COUNT:
+            self._count *= _COUNT_DECAY
             counts = self._count_of_key.items()
             self._count_of_key = {
-                each: _RECENT_KEPT * count for each, count in counts if count > _FORGET_BELOW
+                each: _COUNT_DECAY * count for each, count in counts if count > _MIN_KEY_COUNT
             }
             self._orders = {each: order for each, order in self._orders.items() if each in self._count_of_key}
             self.refresh()
 
     def groups(self, key: str, now: float) -> Iterator[list[Endpoint]]:
-        """The endpoints for a key, a group after the other, as most requests go to the first."""
+        """The endpoints for a key, group by group; computed lazily, as most requests use the first group."""
         endpoints = self._endpoints_for(key, now)
         return iter(lambda: list(islice(endpoints, _GROUP_SIZE)), [])
 
     def record_endpoint_change(self, endpoint: Endpoint) -> None:
-        """Take in that an endpoint has come or gone, or is about to have another capacity."""
+        """Record that an endpoint was added or removed, or that its capacity is about to change."""
         if not self._orders:
             return
         self._changes.append((endpoint.index, endpoint.capacity))
-        if len(self._changes) > _MOST_UNASKED_CHANGES:
-            # No key was asked for in all this time, or they would have been taken in.
+        if len(self._changes) > _MAX_UNAPPLIED_CHANGES:
+            # No key was used for a long time, else the changes would have been applied.
             self._forget_orders()
 
     def refresh(self) -> None:
-        """Let the orders of all keys take in what has changed, each when it is next asked for."""
+        """Have the recorded changes applied to each key's order when it is next used."""
         self._epoch += 1
-        if len(self._changes) > _MOST_CHANGES:
+        if len(self._changes) > _MAX_CHANGES:
             self._forget_orders()
 
     def _forget_orders(self) -> None:
@@ -73,53 +78,56 @@
         self._changes.clear()
 
     def _endpoints_for(self, key: str, now: float) -> Iterator[Endpoint]:
-        """The endpoints for a key in their order: as many as its traffic asks for."""
-        part = self._count_of_key.get(key, 0.0) / self._count
+        """The endpoints for a key in order, without ejected ones: as many as its traffic needs."""
+        fraction = self._count_of_key.get(key, 0.0) / self._count
         ready = len(self._endpoints.ready)
-        most = int(part * ready) + _GROUP_SIZE
-        # Most requests go to the first few: the order is worked out as far as it is looked at.
-        looked, last = 0, min(2 * most, ready)
-        while looked < last:
-            order = self._order_of(key, min(last, 4 * looked + _GROUP_SIZE), 2 * most)
-            head = order.entries[looked:last]
-            looked += len(head)
+        max_count = int(fraction * ready) + _GROUP_SIZE
+        # Most requests use only the first few endpoints: compute the order only as far as it is used.
+        examined, end = 0, min(2 * max_count, ready)
+        while examined < end:
+            order = self._order_of(key, min(end, 4 * examined + _GROUP_SIZE), 2 * max_count)
+            head = order.entries[examined:end]
+            examined += len(head)
             for _, index in head:
                 endpoint = self._endpoints.all[index]
                 if now >= endpoint.ejected_until_ms:
                     yield endpoint
-                    most -= 1
-                    if not most:
+                    max_count -= 1
+                    if not max_count:
                         return
 
-    def _order_of(self, key: str, least: int, most: int) -> KeyOrder:
-        """The order of the ready endpoints for a key: at least so many of its head, few beyond `most`."""
+    def _order_of(self, key: str, min_count: int, max_count: int) -> KeyOrder:
+        """The cached order of the ready endpoints for a key, with at least `min_count` entries.
+
+        It is trimmed to a small multiple of `max_count`.
+        """
         order = self._orders.get(key)
         if order is None:
             order = self._orders[key] = KeyOrder(key)
-        # What changed since, with the capacity before that: until the next refresh it counts as it was.
-        before = dict(reversed(self._changes[order.journal_position :]))
+        # The endpoints changed since, with their previous capacity, which is used until the next refresh.
+        old_capacities = dict(reversed(self._changes[order.journal_position :]))
         if order.epoch != self._epoch:
             if order.epoch >= 0:
-                self._apply_changes(order, before)
+                self._apply_changes(order, old_capacities)
             order.epoch, order.journal_position = self._epoch, len(self._changes)
-            before = {}
-        order.trim(_KEPT_MULTIPLE * (most + _KEPT_MORE))
-        if len(order.entries) < least:
+            old_capacities = {}
+        order.trim(_MAX_CACHED_RATIO * (max_count + _EXTRA_CACHED))
+        if len(order.entries) < min_count:
             table = self._endpoints
-            count = min(least + _KEPT_MORE, len(table.ready))
-            order.build(count, table.ready_indexes, table.id_hashes, self._capacities(before))
+            count = min(min_count + _EXTRA_CACHED, len(table.ready))
+            order.build(count, table.ready_indexes, table.id_hashes, self._capacities(old_capacities))
         return order
 
-    def _apply_changes(self, order: KeyOrder, before: dict[int, float]) -> None:
+    def _apply_changes(self, order: KeyOrder, old_capacities: dict[int, float]) -> None:
         table = self._endpoints
-        is_ready = {index: table.all[index].state == EndpointState.READY for index in before}
-        order.apply_changes(before, table.id_hashes, table.capacities, is_ready)
+        is_ready = {index: table.all[index].state == EndpointState.READY for index in old_capacities}
+        order.apply_changes(old_capacities, table.id_hashes, table.capacities, is_ready)
 
-    def _capacities(self, before: dict[int, float]) -> list[float]:
-        """The capacity of every endpoint, by index; of some as it was before."""
-        if not before:
+    def _capacities(self, old_capacities: dict[int, float]) -> list[float]:
+        """The capacity of every endpoint by index, with the given old capacities in place of current ones."""
+        if not old_capacities:
             return self._endpoints.capacities
         capacities = self._endpoints.capacities.copy()
-        for index, capacity in before.items():
+        for index, capacity in old_capacities.items():
             capacities[index] = capacity
         return capacities
--- a/dunepulley/routing/attempt_feedback.py
+++ b/dunepulley/routing/attempt_feedback.py
@@ -1,4 +1,4 @@
-"""What is learned from how attempts start and end: running times, load, and which endpoints fail."""
+"""Learns from how attempts start and end: running times, load, and which endpoints fail."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class AttemptFeedback:
-    """Hands what attempts tell to the parts that learn from it."""
+    """Passes the starts and results of attempts to the parts that learn from them."""
 
     def __init__(
         self,
@@ -24,7 +24,7 @@
         run_times: RunTimes,
         start_times: StartTimes,
     ) -> None:
-        self._tells_start = settings.reports_start
+        self._reports_start = settings.reports_start
         self._progress_interval_ms = settings.progress_interval_ms
         self._load = load
         self._outliers = outliers
@@ -32,10 +32,11 @@
         self._start_times = start_times
 
     def record_start(self, request: Request, attempt: Attempt, event: AttemptStarted, now: float) -> None:
-        """Learn from the first word of an attempt's start or progress."""
+        """Learn from the first message that an attempt has started or makes progress."""
         ago_ms = 0.0
-        if not self._tells_start:
-            # Progress is told up to one interval after the start: about as long ago as what is done took.
+        if not self._reports_start:
+            # A progress message arrives up to one interval after the start. How long ago the attempt started
+            # is estimated from the fraction of the work that is done.
             done_ms = event.progress * request.expected_ms * self._run_times.slowness(attempt.endpoint, now)
             ago_ms = min(self._progress_interval_ms, done_ms)
         attempt.started_ms = max(attempt.sent_ms, now - ago_ms)
--- a/dunepulley/routing/commands.py
+++ b/dunepulley/routing/commands.py
@@ -1,4 +1,4 @@
-"""What a router wants done. Times are milliseconds with fractions; ids are those of the events."""
+"""The commands that a router emits. Times are in ms, as floats; ids are those of the events."""
 
 from __future__ import annotations
 
@@ -6,7 +6,10 @@
 
 
 class StartAttempt(NamedTuple):
-    """Send a request to an endpoint, for `timeout_ms`; its first byte by `start_within_ms` or never."""
+    """Send a request to an endpoint, with a timeout of `timeout_ms`.
+
+    If its first byte is not sent within `start_within_ms`, the attempt is dropped.
+    """
 
     request_id: str
     endpoint_id: str
@@ -15,33 +18,39 @@
 
 
 class CancelAttempt(NamedTuple):
-    """Stop waiting for one attempt."""
+    """Cancel one attempt."""
 
     request_id: str
     attempt_number: int
 
 
 class Reject(NamedTuple):
-    """Final answer: try again, no harm done; not before `retry_after_ms`, where that is not 0."""
+    """Final response: the request was rejected, and the client may safely retry it.
+
+    `retry_after_ms` is how long the client should wait; 0 for no advice.
+    """
 
     request_id: str
     retry_after_ms: float = 0.0
 
 
 class Fail(NamedTuple):
-    """Final answer: given up, with no promise about the effect."""
+    """Final response: the request has failed, and its effect may have happened."""
 
     request_id: str
 
 
 class CheckHealth(NamedTuple):
-    """Ask one endpoint for its load report."""
+    """Send a health check to an endpoint, which responds with a load report."""
 
     endpoint_id: str
 
 
 class SendGossip(NamedTuple):
-    """Send a message to the dispatcher of this number, or to all others (`BROADCAST`); it may be lost."""
+    """Send a gossip message to the dispatcher with this number or to all others (`BROADCAST`).
+
+    It may be lost.
+    """
 
     recipient: int
     is_aggregate: bool
@@ -56,14 +65,14 @@
 
 
 class WriteLog(NamedTuple):
-    """A line for the log."""
+    """Write a line to the log."""
 
     message: str
 
 
-# The recipient of gossip that goes to all other dispatchers.
+# The recipient number that stands for all other dispatchers.
 BROADCAST = -1
-# A gossip message has room for the slots of so many endpoints.
+# The maximum number of endpoints in a gossip message.
 MAX_GOSSIP_ENTRIES = 85
 
 Command = StartAttempt | CancelAttempt | Reject | Fail | CheckHealth | SendGossip | SetTimer | WriteLog
--- a/dunepulley/routing/events.py
+++ b/dunepulley/routing/events.py
@@ -1,7 +1,8 @@
-"""What a router is told. Times are milliseconds with fractions; ids of requests and endpoints are opaque.
+"""The events that a router processes. Times are in ms, as floats; ids of requests and endpoints are opaque.
 
-An attempt is known by its number within its request, counted from 0 in the order of the `StartAttempt`
-commands. The values of the enumerations are stored in recordings and handed to other processes: they stay.
+An attempt is identified by its number within its request, counted from 0 in the order of the `StartAttempt`
+commands. The values of the enumerations are stored in recordings and sent to other processes, so they must
+not change.
 """
 
 from __future__ import annotations
@@ -15,29 +16,30 @@
 
     COMPLETED = "finished"
     ERRORED = "erred"
-    # The endpoint answered at once that it has no room.
+    # The endpoint rejected the attempt at once, because it has no available slot.
     REJECTED = "full"
     TIMED_OUT = "timed out"
     CONNECT_FAILED = "not connected"
     CONNECTION_LOST = "cut"
-    # A kept connection broke under the attempt, which may have run; it says nothing of the endpoint's health.
+    # A reused idle connection broke during the attempt, which may have run. This is no sign of ill health.
     STALE_CONNECTION = "dropped"
-    # The endpoint could not read the request, and no other will: of its health that says nothing either.
+    # The endpoint could not parse the request, and no other can. This is no sign of ill health either.
     UNPROCESSABLE = "unfit"
     CANCELLED = "taken back"
-    # It was given up, or its connection broke, and the endpoint could not be told: it may be running yet.
+    # The attempt was cancelled or its connection broke, but the endpoint did not confirm that it stopped: the
+    # attempt may still be running.
     CANCEL_UNCONFIRMED = "unheard"
     NOT_SENT = "not sent"
 
 
-# The results that prove that the endpoint did not begin the attempt.
+# The results that prove that the endpoint did not start the attempt.
 NOT_EXECUTED = frozenset((AttemptResult.REJECTED, AttemptResult.CONNECT_FAILED, AttemptResult.NOT_SENT))
-# The results that say that the endpoint could not be reached, or was lost.
+# The results that mean that the endpoint could not be reached or the connection to it was lost.
 CONNECTION_FAILURES = frozenset((AttemptResult.CONNECT_FAILED, AttemptResult.CONNECTION_LOST))
 
 
 class EndpointState(StrEnum):
-    """What the endpoint list says of an endpoint."""
+    """The state of an endpoint in the endpoint list."""
 
     READY = "ready"
     DRAINING = "leaving"
@@ -45,7 +47,7 @@
 
 
 class ListUpdateKind(StrEnum):
-    """What an update of the endpoint list brings."""
+    """The kind of an update of the endpoint list."""
 
     CHANGES = "changes"
     FULL = "full list"
@@ -54,7 +56,7 @@
 
 
 class EndpointEntry(NamedTuple):
-    """One endpoint in a list; `started_ms` is 0 where it started long ago."""
+    """One entry of an endpoint list; `started_ms` is 0 if the endpoint started long ago."""
 
     endpoint_id: str
     zone: str = ""
@@ -66,16 +68,16 @@
 
 
 class EndpointListUpdate(NamedTuple):
-    """News of the endpoints: changes to the list in hand, a whole list, or word that asking failed."""
+    """Changes to the current endpoint list, a full list, or a report that polling the list failed."""
 
     kind: str
     entries: tuple[EndpointEntry, ...] = ()
 
 
 class RequestArrived(NamedTuple):
-    """A request has come in and is owed exactly one final answer within `timeout_ms`.
+    """A new request, which must receive exactly one final response within `timeout_ms`.
 
-    `expected_ms` is the client's estimate of its running time, 0 where it gives none.
+    `expected_ms` is the client's estimate of its running time; 0 if it gives none.
     """
 
     request_id: str
@@ -90,7 +92,7 @@
 
 
 class AttemptStarted(NamedTuple):
-    """An endpoint has started an attempt, or goes on with it; `progress` is the part done so far."""
+    """An endpoint has started an attempt or makes progress; `progress` is the fraction done so far."""
 
     request_id: str
     attempt_number: int
@@ -98,14 +100,14 @@
 
 
 class ResponseStarted(NamedTuple):
-    """The answer has begun to reach the client: the attempt has no time limit any more."""
+    """The response has begun to reach the client: the attempt no longer has a timeout."""
 
     request_id: str
     attempt_number: int
 
 
 class AttemptEnded(NamedTuple):
-    """How an attempt ended; `answered` once nothing more is owed to the client."""
+    """An attempt has ended; `answered` is whether the client needs no further response."""
 
     request_id: str
     attempt_number: int
@@ -117,13 +119,13 @@
 
 
 class ClientDisconnected(NamedTuple):
-    """The client has left; nothing more is owed."""
+    """The client has disconnected and needs no response."""
 
     request_id: str
 
 
 class HealthCheckEnded(NamedTuple):
-    """What a health check brought back."""
+    """The result of a health check."""
 
     endpoint_id: str
     result: str
@@ -132,9 +134,10 @@
 
 
 class GossipReceived(NamedTuple):
-    """What another dispatcher tells: slots held, by an endpoint's short id, 16 bits of a hash.
+    """A gossip message from another dispatcher: (short id, slots) for each of some endpoints.
 
-    All that it holds there itself, or, where `is_aggregate`, what all together hold there.
+    The short id is 16 bits of a hash of the endpoint's id. The slots are all that the sender holds at the
+    endpoint or, if `is_aggregate`, those that all dispatchers together hold.
     """
 
     sender: int
@@ -143,7 +146,10 @@
 
 
 class SlowStartBudgetAssigned(NamedTuple):
-    """Whether this process may spend the dispatcher's slow-start budget; beside it another one may run."""
+    """Whether this process may spend the dispatcher's slow-start budget.
+
+    In a hot restart two processes of the dispatcher run, and only one of them may.
+    """
 
     assigned: bool
 
@@ -169,9 +175,9 @@
 
 
 def in_order(events: list[Event]) -> list[Event]:
-    """The events of one batch in the order in which `Router.handle` takes them.
+    """The events of a batch in the order in which `Router.handle` expects them.
 
-    All news comes before the new requests, and a request whose client has left already is dropped.
+    New requests come last, and a request whose client has already disconnected is dropped.
     """
     if len(events) < 2:
         return events
--- a/dunepulley/routing/gossip.py
+++ b/dunepulley/routing/gossip.py
@@ -1,8 +1,8 @@
-"""What dispatchers tell each other: the slots that each holds at the endpoints, summed up by a few of them.
+"""Gossip between dispatchers: the slots that each holds at the endpoints, and the totals over all of them.
 
-Every dispatcher tells the few aggregators what it holds, soon after that changes; the aggregators take turns
-in telling all others the sums. Any message may be lost, and no rule rests on them: a lost one is made good by
-the next.
+Each dispatcher announces the slots that it holds to a few aggregators, soon after they change. The
+aggregators take turns in broadcasting the totals. Messages may be lost: the next one replaces a lost one, and
+correctness does not depend on gossip, only the quality of load estimates does.
 """
 
 from __future__ import annotations
@@ -18,22 +18,23 @@
 from .settings import RouterSettings
 from .timers import TimerQueue
 
-# Few aggregate, so that messages are few, but more than one, and far apart in number.
-_AGGREGATORS = 3
-# Messages wait for more to go with them, and aggregators take turns of so long.
-_COLLECT_MS, _TURN_MS = 60.0, 160.0
-# A dispatcher that is silent for twice as long as sums are believed is gone.
+# Few aggregators keep the number of messages low, and more than one tolerates failures. Their numbers are
+# spread evenly over those of all dispatchers.
+_AGGREGATOR_COUNT = 3
+# How long an announcement is delayed to include further changes, and the length of an aggregator's turn.
+_BATCH_DELAY_MS, _TURN_MS = 60.0, 160.0
+# A dispatcher that has sent nothing for this long counts as gone: twice the maximum age of an aggregate.
 SENDER_TIMEOUT_MS = 2.0 * AGGREGATE_MAX_AGE_MS
-# A dispatcher that holds slots says so again after this part of the silence.
-_REMIND_PART = 0.4
-# Slots are counted in one byte.
-_MOST_SLOTS = 255
+# A dispatcher that holds slots repeats its announcement after this fraction of that timeout.
+_REMIND_FRACTION = 0.4
+# A slot count is one byte in a message.
+_MAX_SLOTS = 255
 
 Holdings = tuple[tuple[int, int], ...]
 
 
 class GossipExchange:
-    """Tells what this dispatcher holds, aggregates if it is one of the few, and takes in the sums."""
+    """Announces this dispatcher's slots, handles received aggregates and, as an aggregator, sends them."""
 
     def __init__(
         self,
@@ -50,7 +51,7 @@
         is_on = settings.gossip and settings.dispatcher_count > 1.0
         count = int(settings.dispatcher_count) if is_on else 0
         self.aggregators = (
-            sorted({each * count // _AGGREGATORS for each in range(_AGGREGATORS)}) if count else []
+            sorted({each * count // _AGGREGATOR_COUNT for each in range(_AGGREGATOR_COUNT)}) if count else []
         )
         self._endpoints = endpoints
         self._in_flight = in_flight
@@ -59,42 +60,43 @@
         self._timers = timers
         self._outbox = outbox
         self._random = random
-        # Whether own slots are to be told soon, and when they were told last.
-        self._is_collecting, self._told_ms = False, 0.0
-        # As an aggregator: what each dispatcher told last, the sums of it, and where the next message begins.
+        # Whether an announcement is scheduled, and when the last one was sent.
+        self._is_announcement_scheduled, self._announced_ms = False, 0.0
+        # Used by aggregators: the latest announcement of each dispatcher with its time of receipt, the totals
+        # by short id, and the entry with which the next broadcast begins.
         self._holdings: dict[int, tuple[float, Holdings]] = {}
         self._aggregates: dict[int, int] = {}
         self._next_entry = 0
 
     def start(self, now: float) -> None:
-        """Begin to aggregate, once all others have told theirs to one that has just started."""
+        """Schedule the broadcasts of an aggregator; by the first, all others have announced their slots."""
         if self._is_aggregator():
-            self._timers.schedule(now + SENDER_TIMEOUT_MS / 2, self._send_sums)
+            self._timers.schedule(now + SENDER_TIMEOUT_MS / 2, self._broadcast_aggregates)
 
     def schedule_announcement(self, now: float) -> None:
-        """Tell soon what this dispatcher holds, with what changes until then."""
-        if self.aggregators and not self._is_collecting:
-            self._is_collecting = True
-            self._timers.schedule(now + _COLLECT_MS, self._send_own)
+        """Schedule an announcement of this dispatcher's slots, unless one is scheduled already."""
+        if self.aggregators and not self._is_announcement_scheduled:
+            self._is_announcement_scheduled = True
+            self._timers.schedule(now + _BATCH_DELAY_MS, self._announce_own_slots)
 
     def receive(self, message: GossipReceived, now: float) -> None:
-        """Take in a message: the sums for some endpoints or, as an aggregator, all that another holds."""
+        """Handle a message: aggregates or, at an aggregator, the announcement of one dispatcher."""
         if message.is_aggregate:
-            self._receive_sums(message.slots_held, now)
+            self._receive_aggregates(message.slots_held, now)
         elif self._is_aggregator():
             self._receive_holdings(message.sender, message.slots_held, now)
 
     def _is_aggregator(self) -> bool:
         return self._number in self.aggregators
 
-    def _receive_sums(self, sums: Holdings, now: float) -> None:
+    def _receive_aggregates(self, aggregates: Holdings, now: float) -> None:
         self._load.record_aggregates_received(now)
-        for short_id, held in sums:
+        for short_id, slots_held in aggregates:
             endpoint = self._endpoints.by_short_id.get(short_id)
             if endpoint is not None:
-                self._load.record_aggregate(endpoint, held)
+                self._load.record_aggregate(endpoint, slots_held)
         if self._queue.waiting:
-            # All hear at once of an endpoint that has a slot available: they look one after the other.
+            # All dispatchers learn of an available slot at once: a random delay keeps them from all using it.
             wait_ms = 2.0 * _TURN_MS * self._random.random()
             self._timers.schedule(now + wait_ms, self._queue.serve)
 
@@ -102,60 +104,64 @@
         _, before = self._holdings.get(sender, (0.0, ()))
         self._holdings[sender] = (now, holdings)
         for sign, entries in ((-1, before), (1, holdings)):
-            for short_id, held in entries:
-                self._aggregates[short_id] = self._aggregates.get(short_id, 0) + sign * held
+            for short_id, slots_held in entries:
+                self._aggregates[short_id] = self._aggregates.get(short_id, 0) + sign * slots_held
 
-    def _send_own(self, now: float) -> None:
-        """Tell the aggregators all that this dispatcher holds."""
-        self._is_collecting = False
-        held = self._own_holdings()
+    def _announce_own_slots(self, now: float) -> None:
+        """Send the aggregators all slots that this dispatcher holds."""
+        self._is_announcement_scheduled = False
+        slots_held = self._own_holdings()
         for number in self.aggregators:
             if number == self._number:
-                self._receive_holdings(number, held, now)
+                self._receive_holdings(number, slots_held, now)
             else:
-                self._outbox.send(SendGossip(number, False, held))
-        if held:
-            # Silence would be taken for a dispatcher that is gone.
-            self._told_ms = now
-            self._timers.schedule(now + _REMIND_PART * SENDER_TIMEOUT_MS, self._remind)
+                self._outbox.send(SendGossip(number, False, slots_held))
+        if slots_held:
+            # Without a reminder the aggregators would take this dispatcher to be gone.
+            self._announced_ms = now
+            self._timers.schedule(now + _REMIND_FRACTION * SENDER_TIMEOUT_MS, self._remind)
 
     def _own_holdings(self) -> Holdings:
         holders = sorted(self._in_flight.endpoints, key=lambda endpoint: endpoint.index)
         self._load.record_own_slots_announced(holders)
         return tuple(
-            [(endpoint.short_id, min(_MOST_SLOTS, int(endpoint.own_slots + 0.5))) for endpoint in holders]
+            [(endpoint.short_id, min(_MAX_SLOTS, int(endpoint.own_slots + 0.5))) for endpoint in holders]
         )
 
     def _remind(self, now: float) -> None:
-        if now >= self._told_ms + _REMIND_PART * SENDER_TIMEOUT_MS:
-            self._send_own(now)
+        if now >= self._announced_ms + _REMIND_FRACTION * SENDER_TIMEOUT_MS:
+            self._announce_own_slots(now)
 
-    def _send_sums(self, now: float) -> None:
-        """Tell all others what all hold together, where that is not what was told last."""
-        # Aggregators take turns, so that one that hangs or is gone is missed for a turn only.
-        turns = len(self.aggregators)
+    def _broadcast_aggregates(self, now: float) -> None:
+        """Broadcast the aggregates that have changed since they were last broadcast."""
+        # Aggregators take turns, so that one that fails is missed for one turn only.
+        aggregator_count = len(self.aggregators)
         turn = int(now / _TURN_MS + 0.5)
-        wait = (self.aggregators.index(self._number) - turn) % turns or turns
-        self._timers.schedule((turn + wait) * _TURN_MS, self._send_sums)
-        self._forget_silent(now)
-        news = self._next_news()
-        if news:
-            self._outbox.send(SendGossip(BROADCAST, True, news))
-            self._receive_sums(news, now)
-
-    def _forget_silent(self, now: float) -> None:
-        for number, (when, _) in list(self._holdings.items()):
-            if now - when > SENDER_TIMEOUT_MS:
+        wait = (self.aggregators.index(self._number) - turn) % aggregator_count or aggregator_count
+        self._timers.schedule((turn + wait) * _TURN_MS, self._broadcast_aggregates)
+        self._remove_silent(now)
+        changed = self._next_changed_aggregates()
+        if changed:
+            self._outbox.send(SendGossip(BROADCAST, True, changed))
+            self._receive_aggregates(changed, now)
+
+    def _remove_silent(self, now: float) -> None:
+        for number, (received_ms, _) in list(self._holdings.items()):
+            if now - received_ms > SENDER_TIMEOUT_MS:
                 self._receive_holdings(number, (), now)
                 del self._holdings[number]
 
-    def _next_news(self) -> Holdings:
-        """The sums that differ from what was told last, as many as a message holds."""
-        # Begin further on each time, and tell the first though it has not changed, as messages may be lost.
-        sums = [(short_id, min(_MOST_SLOTS, held)) for short_id, held in self._aggregates.items()]
-        start = self._next_entry % max(1, len(sums))
-        sums = sums[start:] + sums[:start]
-        news = sums[:1] + [each for each in sums[1:] if each[1] != self._load.aggregate_of(each[0])]
-        if news:
-            self._next_entry += 1 if len(news) <= MAX_GOSSIP_ENTRIES else MAX_GOSSIP_ENTRIES
-        return tuple(news[:MAX_GOSSIP_ENTRIES])
+    def _next_changed_aggregates(self) -> Holdings:
+        """The aggregates that differ from the latest broadcast, as many as fit into a message."""
+        # Start at another entry each time, and include the first one unchanged, because messages may be lost.
+        aggregates = [
+            (short_id, min(_MAX_SLOTS, slots_held)) for short_id, slots_held in self._aggregates.items()
+        ]
+        start = self._next_entry % max(1, len(aggregates))
+        aggregates = aggregates[start:] + aggregates[:start]
+        changed = aggregates[:1] + [
+            each for each in aggregates[1:] if each[1] != self._load.aggregate_of(each[0])
+        ]
+        if changed:
+            self._next_entry += 1 if len(changed) <= MAX_GOSSIP_ENTRIES else MAX_GOSSIP_ENTRIES
+        return tuple(changed[:MAX_GOSSIP_ENTRIES])
--- a/dunepulley/routing/hashing.py
+++ b/dunepulley/routing/hashing.py
@@ -1,4 +1,4 @@
-"""The hash that all dispatchers share: an endpoint's rank, and its short id in gossip, follow from it."""
+"""The hash function shared by all dispatchers, used for endpoint ranks and for short ids in gossip."""
 
 from __future__ import annotations
 
@@ -7,8 +7,8 @@
 
 
 def fnv1a_64(text: str) -> int:
-    """FNV-1a of the UTF-8 bytes, 64 bits."""
-    mixed = _FNV_OFFSET
+    """The 64-bit FNV-1a hash of the UTF-8 encoding of a text."""
+    hash_value = _FNV_OFFSET
     for byte in text.encode():
-        mixed = (mixed ^ byte) * _FNV_PRIME & _MASK_64
-    return mixed
+        hash_value = (hash_value ^ byte) * _FNV_PRIME & _MASK_64
+    return hash_value
--- a/dunepulley/routing/in_flight.py
+++ b/dunepulley/routing/in_flight.py
@@ -7,7 +7,7 @@
 
 
 class InFlight:
-    """Counts slots, and knows where a connection is open."""
+    """Counts the slots held at each endpoint and tracks open connections."""
 
     def __init__(self, settings: RouterSettings) -> None:
         self._idle_ms = settings.connection_idle_ms or 0.0
@@ -15,12 +15,12 @@
         self.endpoints: set[Endpoint] = set()
 
     def start(self, endpoint: Endpoint, slots: float) -> None:
-        """An attempt goes out; it takes the open connection, if there is one."""
+        """Count the slots of a new attempt; it uses the idle connection, if one is open."""
         endpoint.connection_until_ms = 0.0
         self._hold(endpoint, slots)
 
     def end(self, endpoint: Endpoint, slots: float, now: float) -> None:
-        """An attempt has ended, and has left its connection open for the idle time."""
+        """Release the slots of an ended attempt; its connection stays open for the idle timeout."""
         self._hold(endpoint, -slots)
         endpoint.connection_until_ms = now + self._idle_ms
 
--- a/dunepulley/routing/lifecycle.py
+++ b/dunepulley/routing/lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: from its arrival over its attempts to its one final answer."""
+"""The lifecycle of a request: arrival, attempts, retries and the final response."""
 
 from __future__ import annotations
 
@@ -21,28 +21,31 @@
 from .start_times import StartTimes
 from .timers import INFINITY, TimerQueue
 
-# A request is too late where even an endpoint twice as fast as expected could not end it in time.
-_QUICKEST_PART = 0.5
-# A queue counts as short up to a quarter of a mean request, for the error of the estimate, and, while there
-# is time yet, up to a quarter of that.
-_QUEUE_ERROR_PART, _QUEUE_PART = 0.25, 0.25
-# An attempt may start in a moment yet: it is moved once this part of the request's slack is spent.
-_SLACK_PART = 0.3
-# An attempt that has not started is looked at again when a slot has likely come available.
-_LOOK_AGAIN_MS, _LOOK_AGAIN_PART = 30.0, 0.25
-# An attempt went to an available slot if it leaves no more than half a slot of doubt.
-_ROOM_DOUBT = 0.5
-# A timeout cut to the deadline is told just after that; without word of it, the client is answered all the
-# same, after this part of the slack.
-_OVERDUE_PART = 0.5
+# A request is too late if even an endpoint that takes this fraction of the expected time, that is, one twice
+# as fast as expected, could not complete it in time.
+_MIN_RUN_FRACTION = 0.5
+# The expected wait up to which an endpoint's queue counts as short: this fraction of a mean request, to allow
+# for the error of the estimate; plus, before the latest start, this fraction of the time that is left to it.
+_QUEUE_ERROR_FRACTION, _SHORT_QUEUE_FRACTION = 0.25, 0.25
+# An attempt that has not started is hedged or moved after this fraction of the request's slack; until then it
+# may still start.
+_SLACK_FRACTION = 0.3
+# An attempt that has not started is checked again when a slot has likely become available: after this
+# fraction of the expected time, but no sooner than this.
+_MIN_RECHECK_MS, _RECHECK_FRACTION = 30.0, 0.25
+# An attempt counts as sent to an available slot if the estimated load exceeds the slots by at most this.
+_SLOT_TOLERANCE = 0.5
+# A timed-out attempt is reported just after the deadline. If no report arrives, the client is answered after
+# this fraction of `answer_slack_ms` beyond the deadline.
+_OVERDUE_FRACTION = 0.5
 _READY = EndpointState.READY
 
 
 class Trigger(StrEnum):
-    """Why a request is looked at."""
+    """The reason why a request's next step is decided."""
 
     ARRIVED = "arrived"
-    # It waits here, and slots may have come available.
+    # The request is queued, and slots may have become available.
     CAPACITY = "capacity"
     TIMER = "timer"
     ATTEMPT_STARTED = "attempt started"
@@ -50,7 +53,7 @@
 
 
 class RequestLifecycle:
-    """Moves requests from state to state, and sends the commands that this leads to."""
+    """Moves requests through their states and emits the resulting commands."""
 
     def __init__(
         self,
@@ -82,20 +85,20 @@
         self._start_times = start_times
         self._timers = timers
         self._outbox = outbox
-        # Requests that are owed an answer, or that have attempts out.
+        # Requests that have no final response yet, or have attempts in flight.
         self.requests: dict[str, Request] = {}
 
     def add(self, request: Request, now: float) -> None:
-        """Take over a request that has come in."""
+        """Start the lifecycle of a new request."""
         self.requests[request.request_id] = request
         self.advance(request, Trigger.ARRIVED, now)
 
     def recheck_queued(self, request: Request, now: float) -> None:
-        """Give a waiting request another look."""
+        """Try again to send a queued request."""
         self.advance(request, Trigger.CAPACITY, now)
 
     def advance(self, request: Request, trigger: Trigger, now: float) -> None:
-        """Take a request as far as it comes until there is news of it."""
+        """Take all steps of a request that are possible until the next event about it."""
         request.generation += 1
         self._queue.remove(request)
         if request.is_answered:
@@ -108,13 +111,13 @@
             self._retry(request, now)
 
     def response_started(self, request: Request) -> None:
-        """The answer has begun to reach the client: nothing more is owed."""
+        """Note that the response has begun to reach the client, so no other response is sent."""
         self._queue.remove(request)
         if not request.is_answered:
             request.move_to(RequestState.RESPONDING)
 
     def attempt_ended(self, request: Request, attempt: Attempt, result: str, now: float) -> None:
-        """Count an attempt's end, before it is looked at what follows from it."""
+        """Record the end of an attempt; the next step is decided afterwards by `advance`."""
         attempt.result = result
         request.attempts_in_flight -= 1
         endpoint = attempt.endpoint
@@ -123,16 +126,16 @@
         self._load.record_end(endpoint)
 
     def remove_if_done(self, request: Request) -> None:
-        """Forget a request that is answered and has no attempt out."""
+        """Remove a request that is answered and has no attempt in flight."""
         if request.attempts_in_flight == 0:
             self.requests.pop(request.request_id, None)
 
     # ---------------------------------------------------------------- states
 
     def _dispatch(self, request: Request, now: float) -> None:
-        """Send a request to an endpoint, let it wait, or answer it."""
+        """Send a request to an endpoint, queue it, or end it with an error response."""
         if self._is_too_late(request, now):
-            # Late it would take the slot of one that can still be in time.
+            # It would take a slot from a request that can still complete in time.
             self.reject_or_fail(request)
             return
         endpoint = self._selector.next_in_turn(request, now)
@@ -145,67 +148,71 @@
             self.reject_or_fail(request)
         else:
             self._start_attempt(request, endpoint, now)
-            self._wait_for_start(request, now)
+            self._wait_for_attempt_start(request, now)
 
     def _short_queue(self, request: Request, now: float) -> Endpoint | None:
-        """Where no slot is known to be available: an endpoint with a queue that is told to be short."""
-        error_ms = _QUEUE_ERROR_PART * self._classes.mean_slot_ms
+        """An endpoint whose queue is reported to be short, for use if no slot is available."""
+        error_ms = _QUEUE_ERROR_FRACTION * self._classes.mean_slot_ms
         if now >= request.latest_start_ms:
-            limit_ms = error_ms + request.due_ms - now - _QUICKEST_PART * request.expected_ms
+            limit_ms = error_ms + request.due_ms - now - _MIN_RUN_FRACTION * request.expected_ms
         elif (self._reports.reports_queue or self._load.has_aggregates(now)) and not request.is_over_quota:
-            limit_ms = error_ms + _QUEUE_PART * (request.latest_start_ms - now)
+            limit_ms = error_ms + _SHORT_QUEUE_FRACTION * (request.latest_start_ms - now)
         else:
             return None
         return self._selector.shortest_queue(request, limit_ms, now)
 
     def _supervise(self, request: Request, trigger: Trigger, now: float) -> None:
-        """Look at a request with attempts out."""
+        """Decide the next step of a request with attempts in flight."""
         if trigger is Trigger.TIMER and now > request.deadline_ms:
             self.reject_or_fail(request)
         elif trigger is Trigger.ATTEMPT_STARTED:
             self._cancel_all_but_first_started(request)
             self._wait(request, INFINITY)
         elif trigger is Trigger.TIMER and self._reports.reports_start and not _has_started(request):
-            self._move_if_late(request, now)
+            self._handle_late_start(request, now)
         else:
-            self._wait_for_start(request, now)
+            self._wait_for_attempt_start(request, now)
 
     def _cancel_all_but_first_started(self, request: Request) -> None:
-        """Two attempts may start within a round trip: the first to start goes on."""
+        """Cancel all attempts but the first to start; two may start within one round trip."""
         started = [attempt for attempt in request.unfinished_attempts() if attempt.started_ms]
         first = min(started, key=lambda attempt: attempt.started_ms)
         for number, attempt in enumerate(request.attempts):
             if not attempt.result and attempt is not first:
                 self._cancel(request, number)
 
-    def _move_if_late(self, request: Request, now: float) -> None:
-        """No attempt has started in time: give up, hedge, or cancel so as to try elsewhere."""
+    def _handle_late_start(self, request: Request, now: float) -> None:
+        """No attempt has started in time: reject the request, hedge it, or cancel and retry elsewhere."""
         attempt = request.unfinished_attempts()[-1]
         waited_ms = now - attempt.sent_ms
         self._load.record_waiting(attempt.endpoint, waited_ms)
-        is_alone = request.attempts_in_flight == 1 and self._limits.can_cancel
-        if is_alone and self._is_too_late(request, now) and self._retry_policy.client_may_retry(request):
-            # It could only end late now, and keep what stands behind it from ending in time.
+        is_only_attempt = request.attempts_in_flight == 1 and self._limits.can_cancel
+        if (
+            is_only_attempt
+            and self._is_too_late(request, now)
+            and self._retry_policy.client_may_retry(request)
+        ):
+            # It could only complete late, and would delay the requests queued behind it.
             self.reject_or_fail(request)
             return
         self._load.mark_full(attempt.endpoint, now)
-        slack_ms = _SLACK_PART * (request.latest_start_ms - attempt.sent_ms)
+        slack_ms = _SLACK_FRACTION * (request.latest_start_ms - attempt.sent_ms)
         is_late = waited_ms >= slack_ms and waited_ms >= self._start_times.grace_ms(attempt.path)
         if is_late and self._retry_budget.can_afford(request):
-            other = self._selector.next_in_turn(request, now, excluded=attempt.endpoint)
-            if other is not None and self._limits.hedging:
-                if self.may_attempt(request, other, now):
-                    self._start_attempt(request, other, now)
-                self._wait_for_start(request, now)
+            alternative = self._selector.next_in_turn(request, now, excluded=attempt.endpoint)
+            if alternative is not None and self._limits.hedging:
+                if self.may_attempt(request, alternative, now):
+                    self._start_attempt(request, alternative, now)
+                self._wait_for_attempt_start(request, now)
                 return
-            if other is not None and self._limits.can_cancel:
+            if alternative is not None and self._limits.can_cancel:
                 self._cancel(request, len(request.attempts) - 1)
-        self._wait(request, now + max(_LOOK_AGAIN_MS, _LOOK_AGAIN_PART * request.expected_ms))
+        self._wait(request, now + max(_MIN_RECHECK_MS, _RECHECK_FRACTION * request.expected_ms))
 
     def _retry(self, request: Request, now: float) -> None:
-        """No attempt is out and none completed: try again or, if that may not be, answer at once."""
-        is_worth_it = self._retry_budget.can_afford(request) and now < request.deadline_ms
-        if is_worth_it and self._retry_policy.may_retry(request, now):
+        """Retry a request without a completed attempt or, if that is not allowed, end it at once."""
+        can_afford_retry = self._retry_budget.can_afford(request) and now < request.deadline_ms
+        if can_afford_retry and self._retry_policy.may_retry(request, now):
             self._dispatch(request, now)
         else:
             self.reject_or_fail(request)
@@ -213,13 +220,18 @@
     # ---------------------------------------------------------------- attempts
 
     def may_attempt(self, request: Request, endpoint: Endpoint, now: float) -> bool:
-        """The four rules, asked before every attempt."""
-        is_over = (
+        """Whether the rules for every attempt allow this one.
+
+        The request has no final response, its deadline and the maximum number of attempts are not reached,
+        and hedging is on if an attempt is in flight; the endpoint is ready; the effect cannot happen twice;
+        and the attempt fits the slow-start budget.
+        """
+        has_ended = (
             request.is_answered
             or len(request.attempts) >= self._limits.max_attempts
             or now >= request.deadline_ms
         )
-        if is_over or endpoint.state != _READY or (request.attempts_in_flight and not self._limits.hedging):
+        if has_ended or endpoint.state != _READY or (request.attempts_in_flight and not self._limits.hedging):
             return False
         return self._retry_policy.may_attempt_at(request, endpoint, now) and self._slow_start.allows_attempt(
             request, endpoint, now
@@ -227,13 +239,13 @@
 
     def _start_attempt(self, request: Request, endpoint: Endpoint, now: float) -> None:
         self._retry_budget.spend(request)
-        # A connection that comes up late must not carry a retry beyond its window.
+        # A connection that is established late must not deliver a retry after its idempotency window.
         window_end_ms = self._retry_policy.window_end_ms(request)
         start_within_ms = min(request.deadline_ms, window_end_ms) - now
         path = (endpoint.zone, now < endpoint.connection_until_ms)
-        # Where starts are not told, only an attempt at an available slot tells how long a request runs.
-        held = endpoint.own_slots + endpoint.other_slots + request.slots
-        is_measurable = self._reports.reports_start or held <= endpoint.slots + _ROOM_DOUBT
+        # If starts are not reported, the duration of an attempt is its running time only if it did not queue.
+        slots_in_use = endpoint.own_slots + endpoint.other_slots + request.slots
+        is_measurable = self._reports.reports_start or slots_in_use <= endpoint.slots + _SLOT_TOLERANCE
         request.attempts.append(Attempt(endpoint, path, now, is_measurable))
         request.attempts_in_flight += 1
         request.move_to(RequestState.IN_FLIGHT)
@@ -248,12 +260,12 @@
         if self._limits.can_cancel:
             self._outbox.send(CancelAttempt(request.request_id, number))
 
-    # ---------------------------------------------------------------- the final answer
+    # ---------------------------------------------------------------- the final response
 
     def reject_or_fail(self, request: Request) -> None:
-        """Give up: reject where a retry by the client is harmless, else fail."""
+        """End a request with an error: reject it if the client may safely retry, else fail it."""
         if self._retry_policy.client_may_retry(request):
-            # Long enough for a slot to come available; clients that heed it don't crowd a full fleet.
+            # Long enough for a slot to become available, so that the retries do not hit a full fleet.
             wait_ms = min(self._limits.max_retry_after_ms, request.request_class.mean_run_ms())
             self._outbox.send(Reject(request.request_id, wait_ms))
         else:
@@ -261,7 +273,7 @@
         self.close(request)
 
     def close(self, request: Request, completed: bool = False) -> None:
-        """Nothing more is owed: cancel what is still out and forget the rest."""
+        """Finish a request that needs no further response: cancel its attempts that are in flight."""
         self._retry_budget.record_outcome(request, completed)
         self._queue.remove(request)
         request.move_to(RequestState.ANSWERED)
@@ -272,9 +284,9 @@
 
     # ---------------------------------------------------------------- timers
 
-    def _wait_for_start(self, request: Request, now: float) -> None:
-        """Look again when the last attempt ought to have started."""
-        # Only where starts are told: a look that sees nothing would come again at once, for ever.
+    def _wait_for_attempt_start(self, request: Request, now: float) -> None:
+        """Set a timer for when the latest attempt should have started."""
+        # Only if starts are reported: otherwise the timer would find no start and be set again for ever.
         if _has_started(request) or not self._reports.reports_start:
             self._wait(request, INFINITY)
             return
@@ -283,8 +295,8 @@
         self._wait(request, max(now + 1.0, attempt.sent_ms + grace_ms))
 
     def _wait(self, request: Request, until_ms: float) -> None:
-        """Wait for news until a time, and no longer than the deadline and a little more."""
-        overdue_ms = request.deadline_ms + _OVERDUE_PART * self._limits.answer_slack_ms
+        """Set a timer for `until_ms`, but no later than shortly after the deadline."""
+        overdue_ms = request.deadline_ms + _OVERDUE_FRACTION * self._limits.answer_slack_ms
         self._set_timer(request, min(until_ms, overdue_ms))
 
     def _set_timer(self, request: Request, due_ms: float) -> None:
@@ -295,10 +307,10 @@
             self.advance(request, Trigger.TIMER, now)
 
     def _is_too_late(self, request: Request, now: float) -> bool:
-        """Whether it can't be in time any more, even at an endpoint twice as fast as expected."""
-        return now > request.due_ms - _QUICKEST_PART * request.expected_ms
+        """Whether the request cannot complete in time, even at an endpoint twice as fast as expected."""
+        return now > request.due_ms - _MIN_RUN_FRACTION * request.expected_ms
 
 
 def _has_started(request: Request) -> bool:
-    """Whether an attempt that is out has started."""
+    """Whether an attempt that is in flight has started."""
     return any([attempt.started_ms for attempt in request.attempts if not attempt.result])
--- a/dunepulley/routing/list_updates.py
+++ b/dunepulley/routing/list_updates.py
@@ -1,4 +1,4 @@
-"""Updates of the endpoint list: who is new, has started again, drains, or has gone."""
+"""Applies updates of the endpoint list: endpoints that are new, have restarted, are draining or removed."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from .subset import EndpointSubset
 from .warm_up import WarmUp
 
-# A listed capacity beyond this is not believed; it counts as 1.
-_MOST_CAPACITY, _USUAL_CAPACITY = 1e9, 1.0
+# A listed capacity that is not positive or reaches this limit is invalid and replaced by the default.
+_MAX_CAPACITY, _DEFAULT_CAPACITY = 1e9, 1.0
 
 
 class ListUpdates:
-    """Takes updates of the list into the table, and tells the parts that go by it."""
+    """Applies updates of the list to the endpoint table and notifies the parts that depend on it."""
 
     def __init__(
         self,
@@ -52,11 +52,11 @@
         self._random = random
 
     def apply(self, update: EndpointListUpdate, now: float) -> None:
-        """Take in an update; one that says that asking failed changes nothing."""
+        """Apply an update; a report that polling the list failed changes nothing."""
         if update.kind == ListUpdateKind.FAILED:
             return
-        is_whole = update.kind != ListUpdateKind.CHANGES
-        if is_whole:
+        is_full_list = update.kind != ListUpdateKind.CHANGES
+        if is_full_list:
             self._remove_unlisted(update)
         before = self._endpoints.ready.copy()
         started = [
@@ -67,15 +67,15 @@
         self._endpoints.refresh_orders()
         if started:
             self._join_rotation(started)
-        if started or is_whole or self._endpoints.ready != before:
+        if started or is_full_list or self._endpoints.ready != before:
             self._affinity.refresh()
             self.choose_subset(now)
         self._queue.mark_capacity_changed()
 
     def choose_subset(self, now: float) -> None:
-        """Choose anew which endpoints are in use, and which pools they are in."""
-        cold = self._subset.choose(now)
-        self._size_classes.rebuild(cold, now)
+        """Choose the endpoints in use, and rebuild the pools of the size classes."""
+        warming = self._subset.choose(now)
+        self._size_classes.rebuild(warming, now)
 
     def _remove_unlisted(self, update: EndpointListUpdate) -> None:
         listed = {entry.endpoint_id for entry in update.entries}
@@ -84,29 +84,29 @@
                 self._set_state(endpoint, EndpointState.REMOVED)
 
     def _join_rotation(self, started: list[Endpoint]) -> None:
-        """An endpoint of which nothing is known starts at the share of its size, at a random turn."""
+        """Add new endpoints to the rotation, with the share of their capacity and at a random position."""
         capacity = total_capacity(self._endpoints.ready)
         for endpoint in started:
             share = endpoint.capacity / max(capacity, endpoint.capacity)
             self._rotation.join(endpoint, share, self._random.random())
 
     def _apply_entry(self, entry: EndpointEntry, now: float) -> Endpoint | None:
-        """Take in one entry; returns the endpoint if it is new or has started again."""
-        endpoint, is_known = self._find_or_add(entry, now)
+        """Apply one entry; returns the endpoint if it is new or has restarted, else None."""
+        endpoint, is_current = self._find_or_add(entry, now)
         self._endpoints.set_location_and_kind(endpoint, entry)
         self._run_times.add_kind(entry.kind)
         self._set_state(endpoint, entry.state)
-        capacity = entry.capacity if 0.0 < entry.capacity < _MOST_CAPACITY else _USUAL_CAPACITY
+        capacity = entry.capacity if 0.0 < entry.capacity < _MAX_CAPACITY else _DEFAULT_CAPACITY
         if self._capacity_is_live:
-            capacity = self._full_capacity(endpoint, capacity, is_known, now)
+            capacity = self._full_capacity(endpoint, capacity, is_current, now)
         if capacity != endpoint.capacity:
             self._affinity.record_endpoint_change(endpoint)
         self._endpoints.set_capacity(endpoint, capacity, entry.started_ms)
         self._warm_up.track(endpoint, now)
-        return None if is_known else endpoint
+        return None if is_current else endpoint
 
     def _find_or_add(self, entry: EndpointEntry, now: float) -> tuple[Endpoint, bool]:
-        """The endpoint of an entry, and whether what is known of it still holds."""
+        """The endpoint of an entry, and whether its learned state is still valid."""
         endpoint = self._endpoints.find(entry.endpoint_id)
         if endpoint is None:
             return self._endpoints.add(entry.endpoint_id, now), False
@@ -116,12 +116,12 @@
             return endpoint, False
         return endpoint, True
 
-    def _full_capacity(self, endpoint: Endpoint, listed: float, is_known: bool, now: float) -> float:
-        """The capacity of an endpoint of which the list tells less the more it holds."""
-        # The most that a kind was listed with is its capacity.
+    def _full_capacity(self, endpoint: Endpoint, listed: float, is_current: bool, now: float) -> float:
+        """The full capacity of an endpoint whose listed capacity falls with its load."""
+        # The maximum that was ever listed for a kind is its full capacity.
         by_kind = self._endpoints.capacity_by_kind
         full = by_kind[endpoint.kind] = max(listed, by_kind.get(endpoint.kind, 0.0))
-        self._load.record_live_capacity(endpoint, full / listed, is_known, now)
+        self._load.record_live_capacity(endpoint, full / listed, is_current, now)
         return full
 
     def _set_state(self, endpoint: Endpoint, state: str) -> None:
--- a/dunepulley/routing/outbox.py
+++ b/dunepulley/routing/outbox.py
@@ -1,4 +1,4 @@
-"""The commands of the batch that is being handled, in the order in which they are to be carried out."""
+"""The commands of the current batch, in the order in which they are to be executed."""
 
 from __future__ import annotations
 
@@ -6,13 +6,13 @@
 
 
 class Outbox:
-    """Collects the commands of one batch after the other."""
+    """Collects the commands of the current batch."""
 
     def __init__(self) -> None:
         self.commands: list[Command] = []
 
     def start_batch(self) -> list[Command]:
-        """Begin a new batch; returns the list that its commands will stand in."""
+        """Start a new batch; returns the list to which its commands will be added."""
         self.commands = []
         return self.commands
 
--- a/dunepulley/routing/outliers.py
+++ b/dunepulley/routing/outliers.py
@@ -1,4 +1,4 @@
-"""Outlier detection: endpoints that fail are ejected for a while, then get one request at a time."""
+"""Outlier detection: ejects failing endpoints for a while, then sends them one request at a time."""
 
 from __future__ import annotations
 
@@ -7,18 +7,19 @@
 from .size_classes import SizeClasses
 from .subset import EndpointSubset
 
-# The part of the error score that is kept with each result: about the last three count.
-_SCORE_KEPT = 0.65
+# The fraction of the error score that remains after each result: about the last three results count.
+_SCORE_RETENTION = 0.65
 # Two errors in a row, or most of the recent ones, eject an endpoint.
 _EJECTION_SCORE = 0.5
-# An ejection lasts twice as long each time until something completes there.
-_FIRST_EJECTION_MS, _LONGEST_EJECTION_MS, _EJECTION_GROWTH = 500.0, 8000.0, 2.0
-# In size classes at least until the endpoint's next turn but one: sooner, each turn would be a trial.
-_EJECTED_TURNS_MS, _LEAST_TURNS_PER_S = 2000.0, 0.1
+# The length of an ejection, which grows by this factor each time until a request completes there.
+_MIN_EJECTION_MS, _MAX_EJECTION_MS, _EJECTION_GROWTH = 500.0, 8000.0, 2.0
+# With size classes an ejection lasts at least two of the endpoint's turns at the recent rate of requests. If
+# it were shorter, every turn would go to an endpoint on probation.
+_EJECTED_TURNS_MS, _MIN_TURNS_PER_S = 2000.0, 0.1
 
 
 class OutlierDetector:
-    """Scores errors, and ejects endpoints."""
+    """Keeps the error scores of endpoints and ejects those that fail."""
 
     def __init__(self, subset: EndpointSubset, size_classes: SizeClasses, random: RandomGenerator) -> None:
         self._subset = subset
@@ -26,24 +27,24 @@
         self._random = random
 
     def record_success(self, endpoint: Endpoint) -> None:
-        """A request has completed there."""
-        endpoint.error_score *= _SCORE_KEPT
+        """Lower the error score and end the probation: a request has completed at the endpoint."""
+        endpoint.error_score *= _SCORE_RETENTION
         endpoint.ejection_ms = 0.0
 
     def record_error(self, endpoint: Endpoint, now: float) -> None:
-        """A request has ended there with an error or its timeout."""
-        endpoint.error_score = _SCORE_KEPT * endpoint.error_score + (1.0 - _SCORE_KEPT)
+        """Raise the error score: a request has ended at the endpoint with an error or a timeout."""
+        endpoint.error_score = _SCORE_RETENTION * endpoint.error_score + (1.0 - _SCORE_RETENTION)
         if endpoint.error_score > _EJECTION_SCORE:
             self.eject(endpoint, now)
 
     def eject(self, endpoint: Endpoint, now: float) -> None:
-        """Send it nothing for a while, and after that one request at a time until one completes."""
+        """Eject an endpoint for a while; afterwards it is on probation until a request completes."""
         if now < endpoint.ejected_until_ms:
             return
-        least_ms = _FIRST_EJECTION_MS
+        min_ms = _MIN_EJECTION_MS
         if self._size_classes.pools:
-            least_ms = _EJECTED_TURNS_MS / max(_LEAST_TURNS_PER_S, self._subset.arrivals_per_endpoint_s)
-        longer_ms = max(least_ms, endpoint.ejection_ms * _EJECTION_GROWTH)
-        endpoint.ejection_ms = min(_LONGEST_EJECTION_MS, longer_ms)
-        # Spread, so that dispatchers don't try it all at once.
+            min_ms = _EJECTED_TURNS_MS / max(_MIN_TURNS_PER_S, self._subset.arrivals_per_endpoint_s)
+        next_ms = max(min_ms, endpoint.ejection_ms * _EJECTION_GROWTH)
+        endpoint.ejection_ms = min(_MAX_EJECTION_MS, next_ms)
+        # Randomized, so that dispatchers do not all retry the endpoint at once.
         endpoint.ejected_until_ms = now + endpoint.ejection_ms * (0.75 + 0.5 * self._random.random())
--- a/dunepulley/routing/retries.py
+++ b/dunepulley/routing/retries.py
@@ -1,4 +1,8 @@
-"""What may be attempted again, and where, without an effect that happens twice; and the budget for it."""
+"""Retry policy and retry budget.
+
+The policy says at which endpoints a request may be attempted again without its effect happening twice; the
+budget limits the extra load by retries.
+"""
 
 from __future__ import annotations
 
@@ -9,21 +13,22 @@
 from .size_classes import SizeClasses
 from .timers import INFINITY
 
-# Of a key's window so much is left unused, as attempts take a while to arrive; and no less than a process may
-# be held up between reading its clock and writing.
-_WINDOW_MARGIN, _LONGEST_PAUSE_MS = 0.1, 150.0
-# The budget holds at most so many retries of mean size, and starts with one.
-_MOST_BALANCE, _FIRST_BALANCE = 20.0, 1.0
-# What a request earns: half a retry where retries are the only way to look elsewhere, else a twentieth, as
-# what is cancelled may go on running.
-_EARNED_PART, _EARNED_PART_WITH_CHECKS = 0.5, 0.05
-# With size classes a retry takes more of the budget.
-_POOL_COST = 4.0
-# About the last ten requests that were retried count.
-_SUCCESS_STEP = 0.1
-_FIRST_SUCCESS_RATE = 0.5
-
-# A retry in place of an attempt that broke is free: a bad spell must not go unanswered.
+# The part of a key's window that is left unused, because an attempt takes time to arrive: a fraction of the
+# window, but no less than the time for which a process may pause between reading its clock and writing.
+_WINDOW_MARGIN_FRACTION, _MAX_PAUSE_MS = 0.1, 150.0
+# The maximum and the initial balance of the budget, in retries of mean size.
+_MAX_BALANCE, _INITIAL_BALANCE = 20.0, 1.0
+# The retries that a request earns. Without health checks, a retry is the only way to learn about another
+# endpoint. With them it earns less, because a cancelled attempt may keep running and waste capacity.
+_EARNED_RETRIES, _EARNED_RETRIES_WITH_CHECKS = 0.5, 0.05
+# With size classes a retry costs this many times as much.
+_POOL_COST_RATIO = 4.0
+# The step of the moving average over retried requests: about the last ten count.
+_SUCCESS_RATE_STEP = 0.1
+_INITIAL_SUCCESS_RATE = 0.5
+
+# A retry after one of these results is free, so that an exhausted budget does not fail requests while
+# connections break.
 _FREE_RESULTS = frozenset(
     (
         AttemptResult.CONNECTION_LOST,
@@ -39,7 +44,7 @@
 
 
 class RetryPolicy:
-    """Where a request may be attempted so that its effect cannot happen twice."""
+    """Decides where a request may be attempted so that its effect cannot happen twice."""
 
     def __init__(self, settings: RouterSettings, endpoints: EndpointTable) -> None:
         self._hedging = settings.retries.hedging
@@ -57,16 +62,16 @@
         return any(_group_of(request, endpoint) == group for endpoint in self._endpoints.ready)
 
     def window_end_ms(self, request: Request) -> float:
-        """Until when the attempts that may have run are surely remembered, by their idempotency key."""
+        """Until when endpoints certainly remember the idempotency key of all attempts that may have run."""
         settings = request.request_class.settings
         if settings.idempotency != Idempotency.KEYED:
             return INFINITY
-        margin = max(_WINDOW_MARGIN * settings.key_window_ms, _LONGEST_PAUSE_MS)
+        margin = max(_WINDOW_MARGIN_FRACTION * settings.key_window_ms, _MAX_PAUSE_MS)
         sent = [attempt.sent_ms for attempt in request.attempts if attempt.result not in NOT_EXECUTED]
         return min(sent, default=INFINITY) + settings.key_window_ms - margin
 
     def client_may_retry(self, request: Request) -> bool:
-        """Whether the client may send the request anew without an effect that happens twice."""
+        """Whether the client may retry the request without its effect happening twice."""
         settings = request.request_class.settings
         return (
             settings.idempotency == Idempotency.IDEMPOTENT
@@ -80,7 +85,7 @@
         if not self._hedging and any(
             [attempt.result == AttemptResult.CANCEL_UNCONFIRMED for attempt in attempts]
         ):
-            return False  # one may be running yet
+            return False  # that attempt may still be running
         settings = request.request_class.settings
         executed = [attempt.endpoint for attempt in attempts if attempt.result not in NOT_EXECUTED]
         if settings.idempotency == Idempotency.IDEMPOTENT or not executed:
@@ -101,44 +106,44 @@
 
 
 def _group_of(request: Request, endpoint: Endpoint) -> str:
-    """The group of an endpoint that shares what it remembers of the request's key."""
+    """The zone or cell whose endpoints share their record of the request's idempotency key."""
     scope = request.request_class.settings.key_scope
     return endpoint.zone if scope == KeyScope.ZONE else endpoint.cell
 
 
 class RetryBudget:
-    """Each request earns a part of a retry, less where the recent retries did not help."""
+    """Limits retries: each request earns a fraction of one, less if recent retries did not succeed."""
 
     def __init__(self, settings: RouterSettings, classes: RequestClasses, size_classes: SizeClasses) -> None:
         self._max_attempts = settings.retries.max_attempts
-        self._earned = _EARNED_PART_WITH_CHECKS if settings.reports.can_check_health else _EARNED_PART
+        self._earned = _EARNED_RETRIES_WITH_CHECKS if settings.reports.can_check_health else _EARNED_RETRIES
         self._classes = classes
         self._size_classes = size_classes
-        self.balance = _FIRST_BALANCE
-        # The part of the requests that were retried which completed.
-        self.success_rate = _FIRST_SUCCESS_RATE
+        self.balance = _INITIAL_BALANCE
+        # The fraction of retried requests that completed.
+        self.success_rate = _INITIAL_SUCCESS_RATE
 
     def earn(self) -> None:
-        """Count a request that has come in."""
-        self.balance = min(_MOST_BALANCE, self.balance + self._earned * self.success_rate)
+        """Credit the budget for a new request."""
+        self.balance = min(_MAX_BALANCE, self.balance + self._earned * self.success_rate)
 
     def can_afford(self, request: Request) -> bool:
-        """Whether one more attempt is allowed and paid for."""
+        """Whether the number of attempts and the balance allow one more attempt."""
         return len(request.attempts) < self._max_attempts and self.balance >= self._cost(request)
 
     def spend(self, request: Request) -> None:
-        """Pay for one more attempt, unless it is the first."""
+        """Charge the budget for one more attempt, unless it is the first."""
         if request.attempts:
             self.balance -= self._cost(request)
 
     def record_outcome(self, request: Request, completed: bool) -> None:
-        """Learn from a request that is answered whether retries help."""
+        """Update the success rate from an answered request, if it was retried."""
         if len(request.attempts) > 1:
-            self.success_rate += _SUCCESS_STEP * (completed - self.success_rate)
+            self.success_rate += _SUCCESS_RATE_STEP * (completed - self.success_rate)
 
     def _cost(self, request: Request) -> float:
-        """What one more attempt takes: its work, against that of a mean request."""
+        """The cost of one more attempt: its expected work relative to that of a mean request."""
         if request.attempts[-1].result in _FREE_RESULTS:
             return 0.0
         cost = request.expected_ms * request.slots / self._classes.mean_slot_ms
-        return cost * (_POOL_COST if self._size_classes.pools else 1.0)
+        return cost * (_POOL_COST_RATIO if self._size_classes.pools else 1.0)
--- a/dunepulley/routing/rng.py
+++ b/dunepulley/routing/rng.py
@@ -1,4 +1,4 @@
-"""A small seeded random generator: decisions that rest on chance come out the same for the same seed."""
+"""A small seeded random number generator, so that randomized decisions are reproducible from the seed."""
 
 from __future__ import annotations
 
@@ -14,6 +14,6 @@
         self._state = (seed * 2 + 1) & _MASK_64
 
     def random(self) -> float:
-        """A number in [0, 1)."""
+        """The next number, in [0, 1)."""
         self._state = (self._state * _MULTIPLIER + _INCREMENT) & _MASK_64
         return (self._state >> 32) / _RANGE
--- a/dunepulley/routing/router.py
+++ b/dunepulley/routing/router.py
@@ -1,21 +1,22 @@
 """The router: decides where every request goes, and when it is retried, rejected or failed.
 
-The ordinary path follows the design (docs/design.md): each control period an endpoint's share follows its
-reported consumption rate and is cut to 9/10 where its reported load is over the limit (`weights.py`), and
-requests go out in evenly spread weighted turns (`round_robin.py`). Beside the design stand:
+The basic algorithm follows the design (docs/design.md): in each control period an endpoint's share follows
+its reported consumption rate and is cut to 9/10 if its reported load is over the limit (`weights.py`), and
+requests are sent in evenly spread weighted turns (`round_robin.py`). Further mechanisms are:
 
-- slots: an endpoint without an available slot is passed over, and a request for which there is none waits
-  here, by priority (`selection.py`, `request_queue.py`);
-- hedging and moving: an attempt that has not started in time is hedged, or cancelled and sent to an endpoint
-  with an available slot, where the class allows that (`lifecycle.py`, `retries.py`);
+- slots: an endpoint without an available slot is skipped, and a request that finds none is queued by priority
+  (`selection.py`, `request_queue.py`);
+- hedging and moving: an attempt that has not started in time is hedged, or cancelled and retried at an
+  endpoint with an available slot, if the request class allows that (`lifecycle.py`, `retries.py`);
 - outlier detection: an endpoint that fails is ejected for a while (`outliers.py`);
 - a retry budget that follows how many of the recent retries succeeded (`retries.py`);
-- slow start: cold endpoints get what fits a budget that holds even if every other dispatcher does the same
+- slow start: all dispatchers together send to an endpoint that is warming up no more than its budget
   (`slow_start.py`);
-- in large fleets size classes, a subset of the endpoints, cache affinity and gossip (`size_classes.py`,
+- in large fleets: size classes, a subset of the endpoints, cache affinity and gossip (`size_classes.py`,
   `subset.py`, `affinity.py`, `gossip.py`).
 
-Dispatchers share nothing but gossip, where that is allowed; any may be lost, and no rule rests on them.
+Dispatchers exchange nothing but gossip, if it is enabled. Any gossip message may be lost; only the quality of
+load estimates depends on it.
 """
 
 from __future__ import annotations
@@ -66,12 +67,12 @@
 from .warm_up import WarmUp
 from .weights import CONTROL_PERIOD_MS, WeightController
 
-# Several ticks of a clock: an alarm is never this late, unless the process was held up.
+# A timer that fires this late means that the process was stalled; it is several ticks of a clock.
 _LATE_ALARM_MS = 50.0
 
 
 class Router:
-    """Decides for one dispatcher, from its own events alone. Each part of it owns its state."""
+    """Makes all routing decisions of one dispatcher, from its events alone."""
 
     def __init__(self, seed: int, settings: Mapping[str, Any], now: float) -> None:
         self.now = self._idle_since_ms = now
@@ -87,7 +88,7 @@
         self._start(now)
 
     def _build_fleet_parts(self, now: float) -> None:
-        """The parts that know the endpoints."""
+        """Build the parts that hold the state of endpoints."""
         settings, endpoints, random = self.settings, self.endpoints, self.random
         self.rotation = WeightedRoundRobin()
         self.affinity = CacheAffinity(endpoints)
@@ -105,7 +106,7 @@
         self._build_load_parts()
 
     def _build_load_parts(self) -> None:
-        """The parts that follow what happens at the endpoints."""
+        """Build the parts that estimate load and process gossip and updates of the endpoint list."""
         settings, endpoints, random = self.settings, self.endpoints, self.random
         self.load = LoadEstimator(
             settings,
@@ -136,7 +137,7 @@
         )
 
     def _build_request_parts(self) -> None:
-        """The parts that take requests to their answers."""
+        """Build the parts that handle requests."""
         settings = self.settings
         self.retry_policy = RetryPolicy(settings, self.endpoints)
         self.retry_budget = RetryBudget(settings, self.classes, self.size_classes)
@@ -176,22 +177,22 @@
         )
 
     def _start(self, now: float) -> None:
-        """Begin what is done every now and then."""
-        # Anywhere in the period, so that dispatchers started together don't steer in step.
+        """Schedule the periodic work."""
+        # At a random time in the period, so that dispatchers started together do not adjust weights in step.
         self.timers.schedule(now + self.random.random() * CONTROL_PERIOD_MS, self._control_period)
         self.timers.schedule(now, self.load.decay)
         self.gossip.start(now)
 
     @property
     def commands(self) -> list[Command]:
-        """The commands of the last batch; after a fault those that it led to until then."""
+        """The commands of the latest batch; if `handle` raised, those emitted before the error."""
         return self.outbox.commands
 
     def handle(self, now: float, events: Iterable[Event]) -> list[Command]:
-        """Take the events of one moment (`events.in_order`); returns the commands that they lead to."""
-        # An alarm that rings late: the process was held up, and what has come since then waited unread.
-        was_held_up = now > self.timers.alarm_at_ms + _LATE_ALARM_MS
-        self._idle_since_ms = self.now if was_held_up else now
+        """Process a batch of events (in the order of `events.in_order`) and return the resulting commands."""
+        # A late timer means that the process was stalled, and that events waited unread during that time.
+        was_stalled = now > self.timers.alarm_at_ms + _LATE_ALARM_MS
+        self._idle_since_ms = self.now if was_stalled else now
         self.now = now
         commands = self.outbox.start_batch()
         for event in events:
@@ -204,7 +205,7 @@
         return commands
 
     def _control_period(self, now: float) -> None:
-        """The design's step, and what goes by the traffic of the period."""
+        """Update shares, the subset and the size classes once per control period."""
         self.timers.schedule(now + CONTROL_PERIOD_MS, self._control_period)
         self.queue.mark_capacity_changed()
         self.subset.measure_traffic(CONTROL_PERIOD_MS)
@@ -254,7 +255,7 @@
         if event.answered and not request.is_answered:
             lifecycle.close(request, event.result == AttemptResult.COMPLETED)
         elif event.result == AttemptResult.UNPROCESSABLE and not request.is_answered:
-            # No endpoint can use it, nor need it come again.
+            # No endpoint can process this request, so neither a retry here nor one by the client can help.
             self.outbox.send(Fail(request.request_id))
             lifecycle.close(request)
         if request.is_answered:
@@ -284,7 +285,7 @@
         self.timers.alarm_fired(event.token)
 
     def _find_attempt(self, request_id: str, number: int) -> tuple[Request, Attempt] | None:
-        """A request and its attempt of this number, if that is out."""
+        """The request and its attempt with this number, if that attempt is in flight."""
         request = self.lifecycle.requests.get(request_id)
         if request is None or number >= len(request.attempts) or request.attempts[number].result:
             return None
--- a/dunepulley/routing/run_times.py
+++ b/dunepulley/routing/run_times.py
@@ -1,4 +1,4 @@
-"""How long endpoints run requests, as a multiple of what was expected of these."""
+"""Running times of requests at endpoints, as a multiple of the expected ones (slowness)."""
 
 from __future__ import annotations
 
@@ -8,22 +8,23 @@
 from .size_classes import SizeClasses
 from .warm_up import WarmUp
 
-# About the last ten running times of an endpoint count, and the last fifty of a kind.
-_ENDPOINT_KEPT, _KIND_KEPT = 0.9, 0.98
-# Where nothing is known, an endpoint has run this much, at the speed of its kind.
-_FIRST_RUN_MS = 1000.0
+# The fraction of the old sums that each new running time keeps: about the last ten of an endpoint count, and
+# the last fifty of a kind.
+_ENDPOINT_RETENTION, _KIND_RETENTION = 0.9, 0.98
+# The sums start as if an endpoint had run for this long at the speed of its kind.
+_INITIAL_RUN_MS = 1000.0
 
 
 @dataclass(slots=True)
 class KindRunTime:
-    """Running times seen at the endpoints of one kind, and those expected for the same requests."""
+    """Decaying sums of observed and expected running times at the endpoints of one kind."""
 
-    observed_ms: float = _FIRST_RUN_MS
-    expected_ms: float = _FIRST_RUN_MS
+    observed_ms: float = _INITIAL_RUN_MS
+    expected_ms: float = _INITIAL_RUN_MS
 
 
 class RunTimes:
-    """The slowness of endpoints and of their kinds."""
+    """Estimates the slowness of endpoints and of their kinds."""
 
     def __init__(self, warm_up: WarmUp, size_classes: SizeClasses) -> None:
         self._warm_up = warm_up
@@ -31,17 +32,17 @@
         self.by_kind: dict[str, KindRunTime] = {}
 
     def add_kind(self, kind: str) -> None:
-        """Take in that there are endpoints of a kind."""
+        """Add a kind of endpoint, if it is new."""
         if kind not in self.by_kind:
             self.by_kind[kind] = KindRunTime()
 
     def kind_slowness(self, endpoint: Endpoint) -> float:
-        """The slowness of endpoints of the same kind."""
+        """The slowness of an endpoint's kind."""
         kind = self.by_kind[endpoint.kind]
         return kind.observed_ms / kind.expected_ms
 
     def slow_kinds(self, expected_ms: float, limit_ms: float) -> frozenset[str]:
-        """The kinds of which a warm endpoint runs a request for longer than a limit."""
+        """The kinds whose warm endpoints need longer than a limit for a request."""
         return frozenset(
             [
                 kind
@@ -51,7 +52,10 @@
         )
 
     def slowness(self, endpoint: Endpoint, now: float) -> float:
-        """An endpoint's slowness; with size classes news of each is thin, and its kind and age decide."""
+        """An endpoint's slowness.
+
+        With size classes a dispatcher sees too few runs of each endpoint, so its kind and its warm-up count.
+        """
         if self._size_classes.pools:
             slowness = self.kind_slowness(endpoint)
             if endpoint in self._warm_up.candidates:
@@ -62,13 +66,13 @@
         return self.kind_slowness(endpoint)
 
     def record(self, endpoint: Endpoint, run_ms: float, expected_ms: float) -> None:
-        """Learn from one running time."""
+        """Add one observed running time and the one that was expected."""
         kind = self.by_kind[endpoint.kind]
         if not endpoint.expected_run_ms:
-            # So that the first running time does not decide alone.
-            endpoint.observed_run_ms = _FIRST_RUN_MS * kind.observed_ms / kind.expected_ms
-            endpoint.expected_run_ms = _FIRST_RUN_MS
-        endpoint.observed_run_ms = endpoint.observed_run_ms * _ENDPOINT_KEPT + run_ms
-        endpoint.expected_run_ms = endpoint.expected_run_ms * _ENDPOINT_KEPT + expected_ms
-        kind.observed_ms = kind.observed_ms * _KIND_KEPT + run_ms
-        kind.expected_ms = kind.expected_ms * _KIND_KEPT + expected_ms
+            # An initial weight, so that the first running time does not determine the slowness alone.
+            endpoint.observed_run_ms = _INITIAL_RUN_MS * kind.observed_ms / kind.expected_ms
+            endpoint.expected_run_ms = _INITIAL_RUN_MS
+        endpoint.observed_run_ms = endpoint.observed_run_ms * _ENDPOINT_RETENTION + run_ms
+        endpoint.expected_run_ms = endpoint.expected_run_ms * _ENDPOINT_RETENTION + expected_ms
+        kind.observed_ms = kind.observed_ms * _KIND_RETENTION + run_ms
+        kind.expected_ms = kind.expected_ms * _KIND_RETENTION + expected_ms
--- a/dunepulley/routing/selection.py
+++ b/dunepulley/routing/selection.py
@@ -1,4 +1,4 @@
-"""Which endpoint a request goes to: the next in turn of its group that has room, or the shortest queue."""
+"""Selects the endpoint for a request: the next in turn with an available slot, or the shortest queue."""
 
 from __future__ import annotations
 
@@ -20,36 +20,36 @@
 from .timers import INFINITY
 from .warm_up import WarmUp
 
-# What speaks against an endpoint: half a slot of doubt, likely too slow, a path that costs. The least of the
-# sum goes first, and turns decide between equals.
-_NO_ROOM_PENALTY, _SLOW_PENALTY, _MOST_PENALTY = 4, 2, 99
-# An endpoint is passed over where it lacks more than half a slot.
-_LEAST_ROOM = -0.5
-# Likely too slow: it takes more than this part of the time that is left.
-_SLOW_PART = 0.6
-# A cold endpoint is tried first if it takes at most this part of the time that is left.
-_COLD_PART = 0.75
+# Penalties of an endpoint: less available than the request needs (by up to half a slot), likely too slow, and
+# 1 for a costly path. The lowest sum is preferred; between equal sums the next in turn.
+_NO_SLOT_PENALTY, _SLOW_PENALTY, _MAX_PENALTY = 4, 2, 99
+# An endpoint is skipped if it lacks more than half a slot for the request.
+_MIN_AVAILABLE_SLOTS = -0.5
+# An endpoint is likely too slow if it takes more than this fraction of the time that is left.
+_SLOW_FRACTION = 0.6
+# A warming endpoint is tried first if it takes at most this fraction of the time that is left.
+_WARMING_FRACTION = 0.75
 _READY = EndpointState.READY
 
 
 class _Search(NamedTuple):
-    """What stays the same while an endpoint is looked for."""
+    """The parameters of one selection."""
 
     request: Request
     now: float
-    # The endpoint that has the request already.
+    # The endpoint at which an attempt of the request is in flight.
     excluded: Endpoint | None
-    # Where its effect cannot happen twice.
+    # The endpoints at which an attempt cannot make the effect happen twice.
     allowed_group: AllowedGroup
-    # Longer than this it would likely take too long.
+    # An endpoint that needs longer than this is likely too slow.
     limit_ms: float
-    # With size classes, the kinds of which warm endpoints are likely, and surely, too slow.
+    # With size classes: the kinds whose warm endpoints are likely too slow, and those that cannot be in time.
     slow_kinds: frozenset[str] = frozenset()
-    late_kinds: frozenset[str] = frozenset()
+    too_slow_kinds: frozenset[str] = frozenset()
 
 
 class EndpointSelector:
-    """Chooses endpoints, by turns."""
+    """Selects endpoints in weighted turns."""
 
     def __init__(
         self,
@@ -80,7 +80,7 @@
         self._retry_policy = retry_policy
 
     def next_in_turn(self, request: Request, now: float, excluded: Endpoint | None = None) -> Endpoint | None:
-        """The next endpoint in turn, of the first group that has one with room; it takes its turn."""
+        """Select the next endpoint in turn, from the first group with one that is available, or None."""
         search = self._search(request, now, excluded)
         for group in self._groups(request, now):
             endpoint = self._best_of(group, search)
@@ -90,21 +90,21 @@
         return None
 
     def shortest_queue(self, request: Request, limit_ms: float, now: float) -> Endpoint | None:
-        """Where the wait is expected to be the shortest, if it is below the limit; it takes its turn."""
+        """Select the endpoint with the shortest expected wait; None if no wait is below `limit_ms`."""
         best, best_wait = None, limit_ms
         candidates: Sequence[Endpoint] = self._endpoints.ready
         if request.affinity_key or self._size_classes.pools:
             candidates = list(chain.from_iterable(self._groups(request, now)))
         search = self._search(request, now, None)
         mean_slot_ms = self._classes.mean_slot_ms
-        for endpoint in self._without_late(candidates, search):
-            # A queue that is not told shows in how long the last requests there waited.
+        for endpoint in self._without_too_slow(candidates, search):
+            # A queue that is not reported shows in how long the latest requests waited there.
             delay = endpoint.start_delay_ms
             if delay >= best_wait:
                 continue
             slots = endpoint.slots
-            ahead = endpoint.own_slots + endpoint.other_slots + request.slots - slots
-            wait = max(delay, ahead / slots * mean_slot_ms * self._run_times.slowness(endpoint, now))
+            queued_slots = endpoint.own_slots + endpoint.other_slots + request.slots - slots
+            wait = max(delay, queued_slots / slots * mean_slot_ms * self._run_times.slowness(endpoint, now))
             if wait < best_wait and self._may_serve(endpoint, search):
                 best, best_wait = endpoint, wait
         if best is not None:
@@ -113,81 +113,93 @@
 
     def _search(self, request: Request, now: float, excluded: Endpoint | None) -> _Search:
         left_ms = request.due_ms - now
-        limit_ms = _SLOW_PART * left_ms
+        limit_ms = _SLOW_FRACTION * left_ms
         allowed_group = self._retry_policy.allowed_group(request, now) if request.attempts else True
         if not self._size_classes.pools:
             return _Search(request, now, excluded, allowed_group, limit_ms)
         slow_kinds = self._run_times.slow_kinds(request.expected_ms, limit_ms)
-        late_kinds = self._run_times.slow_kinds(request.expected_ms, left_ms)
-        return _Search(request, now, excluded, allowed_group, limit_ms, slow_kinds, late_kinds)
+        too_slow_kinds = self._run_times.slow_kinds(request.expected_ms, left_ms)
+        return _Search(request, now, excluded, allowed_group, limit_ms, slow_kinds, too_slow_kinds)
 
     def _groups(self, request: Request, now: float) -> Iterable[list[Endpoint]]:
-        """The groups of endpoints that a request may go to, the first to be preferred if it has room."""
+        """The groups of endpoints for a request, the most preferred first."""
         if request.affinity_key:
             return self._affinity.groups(request.affinity_key, now)
         if request.size_class < 0 or not self._size_classes.pools:
             return [self._subset.in_use, self._subset.standby()]
-        # The turn to send a cold endpoint something comes seldom, and if all let it pass, it stays cold.
-        # Beyond the pool beside its own a request would stand among others' work, or others behind it.
-        left_ms = _COLD_PART * (request.due_ms - now)
-        cold = [each for each in self._subset.warming_in_use if self._warm_up.is_warming_up(each, now)]
-        cold = [each for each in cold if request.expected_ms * self._run_times.slowness(each, now) <= left_ms]
-        return [cold, *self._size_classes.nearest_pools(request.size_class)]
+        # Warming endpoints come first: a dispatcher may send to one in few windows only, and if none did, it
+        # would not warm up by work. Pools beyond the neighbouring one are left out, because long and short
+        # requests would delay each other there.
+        left_ms = _WARMING_FRACTION * (request.due_ms - now)
+        warming = [each for each in self._subset.warming_in_use if self._warm_up.is_warming_up(each, now)]
+        warming = [
+            each for each in warming if request.expected_ms * self._run_times.slowness(each, now) <= left_ms
+        ]
+        return [warming, *self._size_classes.nearest_pools(request.size_class)]
 
     def _best_of(self, group: list[Endpoint], search: _Search) -> Endpoint | None:
-        """The next endpoint in turn that has room for the request, among those with the least penalty."""
+        """The next in turn among the endpoints with an available slot and the lowest penalty."""
         request, now, excluded = search.request, search.now, search.excluded
-        best, best_turn, best_penalty = None, INFINITY, _MOST_PENALTY
-        # Own zone first unsettles the turns, so only where all are in use: a few hold too little of it.
-        near = self._prefers_own_zone and self._subset.includes_all()
-        kept, zone, wanted = self._prefers_open, self._zone, request.slots
-        least = self._least_penalty(search)
-        # Whether none later in turn can beat the best, nor any over a costly path; and none that is both.
-        is_least = is_least_costly = False
-        for endpoint in self._without_late(group, search):
+        best, best_turn, best_penalty = None, INFINITY, _MAX_PENALTY
+        # Preferring the own zone makes turns uneven, so only if all endpoints are in use: a small subset has
+        # too few endpoints in that zone.
+        prefers_own_zone = self._prefers_own_zone and self._subset.includes_all()
+        prefers_open, zone, requested_slots = self._prefers_open, self._zone, request.slots
+        min_penalty = self._min_penalty(search)
+        # `is_min`: the best so far has the lowest possible penalty, so that no endpoint later in turn or over
+        # a costly path can beat it. `is_min_costly`: none that is both later and over a costly path can.
+        is_min = is_min_costly = False
+        for endpoint in self._without_too_slow(group, search):
             turn = endpoint.next_turn
-            if is_least and turn >= best_turn:
+            if is_min and turn >= best_turn:
                 continue
-            costly = (near and endpoint.zone != zone) or (kept and endpoint.connection_until_ms < now)
-            if costly and (is_least or (is_least_costly and turn >= best_turn)):
+            is_costly = (prefers_own_zone and endpoint.zone != zone) or (
+                prefers_open and endpoint.connection_until_ms < now
+            )
+            if is_costly and (is_min or (is_min_costly and turn >= best_turn)):
                 continue
             slots = endpoint.slots
-            room = slots - endpoint.own_slots - endpoint.other_slots - (wanted if wanted < slots else slots)
-            if room < _LEAST_ROOM or now < endpoint.full_until_ms or endpoint is excluded:
+            available = (
+                slots
+                - endpoint.own_slots
+                - endpoint.other_slots
+                - (requested_slots if requested_slots < slots else slots)
+            )
+            if available < _MIN_AVAILABLE_SLOTS or now < endpoint.full_until_ms or endpoint is excluded:
                 continue
-            penalty = self._slow_penalty(endpoint, search) + costly
-            if room < 0.0:
-                penalty += _NO_ROOM_PENALTY
+            penalty = self._slow_penalty(endpoint, search) + is_costly
+            if available < 0.0:
+                penalty += _NO_SLOT_PENALTY
             is_better = penalty < best_penalty or (penalty == best_penalty and turn < best_turn)
             if is_better and self._may_serve(endpoint, search):
                 best, best_turn, best_penalty = endpoint, turn, penalty
-                is_least, is_least_costly = penalty <= least, penalty <= least + 1
+                is_min, is_min_costly = penalty <= min_penalty, penalty <= min_penalty + 1
         return best
 
     def _slow_penalty(self, endpoint: Endpoint, search: _Search) -> int:
-        """What speaks against an endpoint that is likely too slow."""
-        # With size classes a warm endpoint is as slow as its kind.
+        """The penalty if the endpoint is likely too slow for the request, else 0."""
+        # With size classes a warm endpoint counts as slow as its kind.
         if self._size_classes.pools and endpoint not in self._warm_up.candidates:
             return _SLOW_PENALTY if endpoint.kind in search.slow_kinds else 0
         run_ms = search.request.expected_ms * self._run_times.slowness(endpoint, search.now)
         return _SLOW_PENALTY if run_ms > search.limit_ms else 0
 
-    def _least_penalty(self, search: _Search) -> int:
-        """The least that can speak against a warm endpoint."""
+    def _min_penalty(self, search: _Search) -> int:
+        """The lowest possible penalty of a warm endpoint."""
         are_all_slow = bool(search.slow_kinds) and len(search.slow_kinds) == len(self._run_times.by_kind)
         return _SLOW_PENALTY if are_all_slow else 0
 
-    def _without_late(self, group: Sequence[Endpoint], search: _Search) -> Sequence[Endpoint]:
-        """Those of a group whose kind can end the request in time, and those that warm up."""
-        late_kinds, warming = search.late_kinds, self._warm_up.candidates
-        if not late_kinds:
+    def _without_too_slow(self, group: Sequence[Endpoint], search: _Search) -> Sequence[Endpoint]:
+        """The endpoints of a group that are warming up or whose kind can complete the request in time."""
+        too_slow_kinds, warming = search.too_slow_kinds, self._warm_up.candidates
+        if not too_slow_kinds:
             return group
-        if len(late_kinds) == len(self._run_times.by_kind):
+        if len(too_slow_kinds) == len(self._run_times.by_kind):
             return [each for each in group if each in warming]
-        return [each for each in group if each in warming or each.kind not in late_kinds]
+        return [each for each in group if each in warming or each.kind not in too_slow_kinds]
 
     def _may_serve(self, endpoint: Endpoint, search: _Search) -> bool:
-        """Whether an endpoint may be sent this request at all."""
+        """Whether an endpoint is eligible for the request, apart from its available slots."""
         request, now = search.request, search.now
         if self._size_classes.pools and (
             request.expected_ms * self._run_times.slowness(endpoint, now) > request.due_ms - now
@@ -196,7 +208,7 @@
         if endpoint.state != _READY or now < endpoint.ejected_until_ms:
             return False
         if endpoint.ejection_ms and endpoint.own_slots > 0:
-            return False  # after an ejection it gets one request at a time
+            return False  # on probation after an ejection: one request at a time
         required_kind = request.request_class.settings.required_kind
         if required_kind is not None and required_kind != endpoint.kind:
             return False
--- a/dunepulley/routing/settings.py
+++ b/dunepulley/routing/settings.py
@@ -1,7 +1,7 @@
-"""The settings of a router, read once from a plain mapping into frozen records.
+"""The settings of a router, read once from a plain mapping into frozen dataclasses.
 
-The mapping's keys are those of the configuration, with times in ms (`...Ms`). Unknown keys are ignored and
-absent ones have defaults.
+The mapping's keys are those of the configuration, with times in ms (`...Ms`). Unknown keys are ignored, and
+missing ones have defaults.
 """
 
 from __future__ import annotations
@@ -11,23 +11,23 @@
 from enum import StrEnum
 from typing import Any
 
-# A class whose deadline is not told has this many times its latency objective.
-_DEADLINE_OBJECTIVES = 8.0
-# A price, as a part of a request's worth, from which on the cost decides between endpoints.
+# The default deadline of a class, as a multiple of its latency objective.
+_DEFAULT_DEADLINE_RATIO = 8.0
+# The price, as a fraction of a request's value, from which on it influences the choice of an endpoint.
 _DECISIVE_PRICE = 0.01
 
 
 class Idempotency(StrEnum):
-    """How a request of a class may be repeated once an attempt may have run."""
+    """Whether requests of a class may be repeated after an attempt that may have run."""
 
     IDEMPOTENT = "rerunnable"
-    # Safe within one group of endpoints, for as long as these remember the idempotency key.
+    # Safe to repeat within one group of endpoints, for as long as these remember the idempotency key.
     KEYED = "ticketed"
     NON_IDEMPOTENT = "exclusive"
 
 
 class KeyScope(StrEnum):
-    """The group of endpoints that share what they remember of an idempotency key."""
+    """The group of endpoints that share their record of an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -35,7 +35,7 @@
 
 
 def as_tuple(value: Any) -> tuple[Any, ...]:
-    """A setting that may hold one value or several."""
+    """The values of a setting that may hold none, one or several."""
     if value is None:
         return ()
     return value if isinstance(value, tuple) else (value,)
@@ -43,12 +43,13 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestClassSettings:
-    """What the settings say of one class of requests; a class that is not listed has the defaults."""
+    """The settings of one request class; a class that is not listed has the defaults."""
 
-    # An answer counts in full until the objective, which grows by the stretch for each ms of work.
+    # A response has its full value until the latency objective, which grows by the stretch for each ms of
+    # work.
     latency_objective_ms: float = 1000.0
     objective_stretch: float = 0.0
-    deadline_ms: float = _DEADLINE_OBJECTIVES * 1000.0
+    deadline_ms: float = _DEFAULT_DEADLINE_RATIO * 1000.0
     priority_weight: float = 1.0
     idempotency: str = Idempotency.NON_IDEMPOTENT
     key_scope: str = KeyScope.ALL
@@ -59,14 +60,14 @@
 
     @classmethod
     def from_mapping(cls, number: int, settings: Mapping[str, Any]) -> RequestClassSettings:
-        """The class of this number."""
+        """Read the class with this number."""
 
         def get(name: str, default: Any) -> Any:
             return settings.get(f"categories.{number}.{name}", default)
 
         objective = get("dueTimeMs", 1000.0)
         stretches = as_tuple(settings.get("familyInfo.classStretch"))
-        # A class whose idempotency is not told, or a scope that is not known, must never run twice.
+        # A class without a stated idempotency, or with an unknown scope, counts as non-idempotent.
         idempotency = get("effect", Idempotency.NON_IDEMPOTENT)
         scope = get("keyScope", "") if idempotency == Idempotency.KEYED else KeyScope.ALL
         if scope not in (KeyScope.ALL, KeyScope.ZONE, KeyScope.CELL):
@@ -74,7 +75,7 @@
         return cls(
             latency_objective_ms=objective,
             objective_stretch=get("aimStretch", stretches[number] if number < len(stretches) else 0.0),
-            deadline_ms=get("expiryMs", _DEADLINE_OBJECTIVES * objective),
+            deadline_ms=get("expiryMs", _DEFAULT_DEADLINE_RATIO * objective),
             priority_weight=get("payoff", 1.0),
             idempotency=idempotency,
             key_scope=scope,
@@ -84,50 +85,54 @@
 
 
 def _required_kind(number: int, settings: Mapping[str, Any]) -> str | None:
-    """The kind of endpoint that a class needs: its place among the listed kinds, -1 for any."""
-    places = as_tuple(settings.get("familyInfo.classKind"))
-    place = int(places[number]) if number < len(places) else -1
+    """The kind of endpoint that a class requires, or None for any.
+
+    The setting holds the index of the kind among the listed kinds; -1 for any.
+    """
+    indexes = as_tuple(settings.get("familyInfo.classKind"))
+    index = int(indexes[number]) if number < len(indexes) else -1
     kinds = as_tuple(settings.get("kinds"))
-    return kinds[place] if 0 <= place < len(kinds) else None
+    return kinds[index] if 0 <= index < len(kinds) else None
 
 
 @dataclass(frozen=True, slots=True)
 class SlowStartSettings:
-    """How endpoints warm up, and how much they bear meanwhile."""
+    """How endpoints warm up, and how much load they tolerate meanwhile."""
 
-    # The part of its capacity that an endpoint has when it starts, and how long it takes to have all of it.
+    # The fraction of its capacity that an endpoint has when it starts, and the time until it has all of it.
     initial_capacity: float = 0.1
     warm_up_ms: float = 0.0
-    # An endpoint falls over when, within a window, it is sent more than this multiple of what it can serve.
+    # An endpoint becomes overloaded and fails if, within a window, it receives more than this multiple of the
+    # work that it can serve.
     overload_multiple: float = 1.0
     window_ms: float = 1000.0
 
 
 @dataclass(frozen=True, slots=True)
 class RetryLimits:
-    """What the site allows and what is known of attempts that do not start at once."""
+    """Limits on attempts, and the timeouts around them."""
 
     max_attempts: int = 1
-    # A hedged request: a second attempt while the first is still out.
+    # Whether a request may be hedged: a second attempt while the first is still in flight.
     hedging: bool = False
     can_cancel: bool = False
     connect_timeout_ms: float = 100.0
-    # Clients are answered at the latest so long after their deadline.
+    # The maximum time after its deadline at which a client is answered.
     answer_slack_ms: float = 2.0
-    # The longest Retry-After that clients heed; 0 where none may be sent.
+    # The maximum Retry-After that clients respect; 0 if none may be sent.
     max_retry_after_ms: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
 class ReportSettings:
-    """Where load reports come from, and what endpoints tell of a request's start."""
+    """Where load reports come from, and how endpoints report the start of a request."""
 
     source: str = "none"
     reports_queue: bool = False
     can_check_health: bool = False
-    # The price of a health check, as a part of a request's worth.
+    # The price of a health check, as a fraction of a request's value.
     health_check_price: float = 0.0
-    # Whether endpoints tell at once that they have started a request, and else how often they tell progress.
+    # Whether endpoints report the start of a request at once; if not, the interval of their progress reports.
     reports_start: bool = False
     progress_interval_ms: float = 0.0
 
@@ -140,28 +145,28 @@
     slow_start: SlowStartSettings
     retries: RetryLimits
     reports: ReportSettings
-    # By tenant, its share of all requests.
+    # The share of all requests that each tenant may send, by tenant.
     tenant_shares: Mapping[str, float]
     over_quota_factor: float
-    # Whether requests are paid by their work rather than each alike.
+    # Whether the value of a request is proportional to its work; if not, it is the same for all of its class.
     value_scales_with_work: bool
     clients_mark_retries: bool
     dispatcher_count: float
     dispatcher_number: int
-    # This dispatcher's name in the hash by which it ranks endpoints.
+    # This dispatcher's name in the hash from which its ranks of endpoints follow.
     rank_name: str
     zone: str
     gossip: bool
     # Whether an endpoint's listed capacity falls with its load.
     capacity_is_live: bool
-    # How long an idle connection is kept; `None` where that is not told.
+    # How long an idle connection is kept open; `None` if unknown.
     connection_idle_ms: float | None
     prefers_own_zone: bool
     prefers_open_connections: bool
 
     @classmethod
     def from_mapping(cls, settings: Mapping[str, Any]) -> RouterSettings:
-        """Read the mapping."""
+        """Read the settings from a mapping."""
         get = settings.get
         return cls(
             classes=_classes(settings),
@@ -203,14 +208,14 @@
 
 def _retry_limits(settings: Mapping[str, Any]) -> RetryLimits:
     get = settings.get
-    advises = bool(get("policyLimits.retryAfter", False))
+    sends_retry_after = bool(get("policyLimits.retryAfter", False))
     return RetryLimits(
         max_attempts=int(get("policyLimits.mostHandOffs", 1)),
         hedging=bool(get("policyLimits.secondCopies", False)),
         can_cancel=bool(get("policyLimits.cancel", False)),
         connect_timeout_ms=get("policyLimits.connectTimeoutMs", 100.0),
         answer_slack_ms=get("rules.answerSlackMs", 2.0),
-        max_retry_after_ms=get("policyLimits.maxRetryAfterMs", 0.0) if advises else 0.0,
+        max_retry_after_ms=get("policyLimits.maxRetryAfterMs", 0.0) if sends_retry_after else 0.0,
     )
 
 
--- a/dunepulley/routing/slow_start.py
+++ b/dunepulley/routing/slow_start.py
@@ -1,7 +1,8 @@
-"""The fleet's slow-start budget: what all dispatchers together may send an endpoint that warms up.
+"""The slow-start budget: how much work all dispatchers together may send to an endpoint that is warming up.
 
-An endpoint that is sent too much while it is cold falls over. So each dispatcher keeps to a share of what the
-endpoint surely bears within a window, such that the budget holds even if every other does the same.
+An endpoint that receives too much work while it is warming up becomes overloaded and fails. Dispatchers do
+not coordinate, so each keeps to a share of the work that the endpoint can certainly serve within a window,
+chosen such that the total stays within the budget if every dispatcher uses its share.
 """
 
 from __future__ import annotations
@@ -16,26 +17,27 @@
 from .timers import INFINITY
 from .warm_up import WarmUp
 
-# A turn to send a cold endpoint something lasts so many windows; the first goes by unused, so that no window
-# holds the requests of two turns.
+# The number of windows in a turn, during which the same few dispatchers may send to a warming endpoint. The
+# first window of a turn stays unused, so that no window contains requests of two turns.
 _TURN_WINDOWS = 4
-# At most so many dispatchers share a turn: parts that grow with the budget hold long requests, too.
-_MOST_HOLDERS = 6
-# A fifth of the budget is left for chance.
-_SHARED_PART = 0.8
-# An even share is of use if it holds this part of the smallest request.
-_USEFUL_PART = 0.5
-# The smallest request, by the guess that is made before any is seen: this part of the shortest deadline.
-_GUESS_DEADLINES = 8
-# Turns go on by this part of the dispatchers, so that those next to each other are far apart in time; the
-# golden ratio spreads them evenly.
+# The maximum number of dispatchers that share a turn. With this limit, shares grow with the budget, so that
+# they then fit long requests, too.
+_MAX_HOLDERS = 6
+# The fraction of the budget that is shared out in turns; the rest is a safety margin.
+_SHARED_FRACTION = 0.8
+# An equal share for each dispatcher is used if it is at least this fraction of the smallest request.
+_MIN_USEFUL_FRACTION = 0.5
+# The smallest request is estimated as the shortest deadline divided by this.
+_SMALLEST_REQUEST_DIVISOR = 8
+# The fraction of all dispatchers by which the turn advances. With the golden ratio, the turns of dispatchers
+# with neighbouring numbers are spread evenly over time.
 _TURN_STRIDE = 0.618
-# Spreads the endpoints' turns over time.
-_TURN_SPREAD = 7919.0
+# The endpoint's rank times this is an offset, so that turns at different endpoints begin at different times.
+_TURN_OFFSET_RANGE = 7919.0
 
 
 class SlowStartBudget:
-    """This dispatcher's share of each cold endpoint's budget, and what it has sent of it."""
+    """This dispatcher's share of each warming endpoint's budget, and how much of it is spent."""
 
     def __init__(
         self,
@@ -57,35 +59,35 @@
         self._warm_up = warm_up
         self._run_times = run_times
         self._size_classes = size_classes
-        # What this dispatcher sent before it was started is not known: it counts for one window more.
+        # What this dispatcher sent before this process started is unknown, so it waits for one window.
         self._allowed_from_ms = now + self._window_ms
-        # What each endpoint was sent within the last window, as (when, load in slot-ms).
+        # The attempts sent to each endpoint within the last window, as (time in ms, load in slot-ms).
         self._sent: dict[Endpoint, deque[tuple[float, float]]] = {}
 
     def assign(self, owns_budget: bool, now: float) -> None:
-        """Take in whether this process, or another of the same dispatcher, may spend the share."""
+        """Set whether this process may spend the dispatcher's share; in a hot restart only one of two may."""
         self._allowed_from_ms = now + self._window_ms if owns_budget else INFINITY
 
     def expected_load(self, request: Request, endpoint: Endpoint, now: float) -> float:
-        """The slot-ms that a request is expected to take at an endpoint."""
+        """The load that a request is expected to cause at an endpoint, in slot-ms."""
         if self._size_classes.pools:
             return request.slots * request.expected_ms * self._run_times.kind_slowness(endpoint)
         return request.slots * request.expected_ms * self._run_times.slowness(endpoint, now)
 
     def record_attempt(self, request: Request, endpoint: Endpoint, now: float) -> None:
-        """Count what an endpoint is sent; also a warm one, which may turn out to have started anew."""
+        """Record the load sent to an endpoint, even a warm one: it may turn out to have restarted."""
         load = self.expected_load(request, endpoint, now)
         sent = self._sent.setdefault(endpoint, deque())
         self._forget_before_window(sent, now)
         sent.append((now, load))
 
     def allows_attempt(self, request: Request, endpoint: Endpoint, now: float) -> bool:
-        """Whether an attempt keeps to this dispatcher's share within any window."""
+        """Whether an attempt fits this dispatcher's share of the budget within the current window."""
         if not self._warm_up.is_warming_up(endpoint, now):
             return True
         window_ms = self._window_ms
         if now >= endpoint.slow_start_share_until_ms:
-            # It grows with age; within a window the start of the window counts.
+            # The share grows with the endpoint's age; it is computed once per window.
             age_ms = max(0.0, self._warm_up.age_ms(endpoint, now))
             endpoint.slow_start_share_until_ms = now + window_ms - age_ms % window_ms
             endpoint.slow_start_share = self.share_of(endpoint, now)
@@ -102,27 +104,30 @@
             sent.popleft()
 
     def share_of(self, endpoint: Endpoint, now: float) -> float:
-        """This dispatcher's share of what a cold endpoint surely bears in a window, in slot-ms."""
+        """This dispatcher's share of a warming endpoint's budget for one window, in slot-ms."""
         age_ms = max(0.0, self._warm_up.age_ms(endpoint, now))
         budget = self._budget_of(endpoint, age_ms)
-        even = budget / self.dispatcher_count
-        smallest = self._classes.shortest_deadline_ms() / _GUESS_DEADLINES
-        if even >= _USEFUL_PART * smallest:
-            return even
-        # Among many dispatchers nobody's even share would hold a request: a few at a time share it.
-        windows = int(age_ms / self._window_ms) + int(endpoint.fleet_rank * _TURN_SPREAD) % _TURN_WINDOWS
+        even_share = budget / self.dispatcher_count
+        smallest_request = self._classes.shortest_deadline_ms() / _SMALLEST_REQUEST_DIVISOR
+        if even_share >= _MIN_USEFUL_FRACTION * smallest_request:
+            return even_share
+        # With many dispatchers an equal share would not fit any request: a few dispatchers at a time share
+        # the budget.
+        windows = (
+            int(age_ms / self._window_ms) + int(endpoint.fleet_rank * _TURN_OFFSET_RANGE) % _TURN_WINDOWS
+        )
         if windows % _TURN_WINDOWS == 0:
             return 0.0
         turn = windows // _TURN_WINDOWS * (int(_TURN_STRIDE * self.dispatcher_count) + 1)
-        first = int(endpoint.fleet_rank * self.dispatcher_count)
-        place = (self._dispatcher_number + turn + first) % self.dispatcher_count
-        holders = max(1, min(_MOST_HOLDERS, int(_SHARED_PART * budget / smallest)))
-        return _SHARED_PART * budget / holders if place < holders else 0.0
+        offset = int(endpoint.fleet_rank * self.dispatcher_count)
+        position = (self._dispatcher_number + turn + offset) % self.dispatcher_count
+        holders = max(1, min(_MAX_HOLDERS, int(_SHARED_FRACTION * budget / smallest_request)))
+        return _SHARED_FRACTION * budget / holders if position < holders else 0.0
 
     def _budget_of(self, endpoint: Endpoint, age_ms: float) -> float:
-        """What an endpoint of this age surely bears in a window, from all, in slot-ms."""
-        least = self._initial_capacity
-        part = least + (1.0 - least) * age_ms / self._warm_up.duration_ms
-        # A kind that was never seen with slots available is taken for the least of those that were.
+        """The load that an endpoint of this age can certainly serve in a window, in slot-ms."""
+        initial = self._initial_capacity
+        fraction = initial + (1.0 - initial) * age_ms / self._warm_up.duration_ms
+        # A kind whose slots are not known yet counts as the smallest known kind.
         slots = max(endpoint.slots, min(self._endpoints.slots_by_kind.values(), default=1.0))
-        return self._overload_multiple * part * slots * self._window_ms
+        return self._overload_multiple * fraction * slots * self._window_ms
--- a/dunepulley/routing/subset.py
+++ b/dunepulley/routing/subset.py
@@ -1,4 +1,4 @@
-"""The subset of endpoints that a dispatcher uses: as many as its traffic keeps connections open to."""
+"""The subset of endpoints that a dispatcher uses: as many as its traffic can keep connections open to."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from .settings import RouterSettings
 from .warm_up import WarmUp
 
-# With fewer, one that is ejected or full is too large a part.
+# The minimum size: with fewer endpoints, one that is ejected or full would be too large a fraction.
 _MIN_IN_USE = 8
-# Where the idle time of connections is not told, all endpoints are in use.
+# The idle timeout that is assumed if it is unknown: all endpoints are in use.
 _NO_IDLE_LIMIT_MS = 1e9
-# The subset shrinks by this part of what it could in each control period, as bursts come again.
-_SHRINK_PART = 0.1
+# The fraction of the surplus by which the subset shrinks in each control period; slowly, as bursts recur.
+_SHRINK_STEP = 0.1
 
 
 class EndpointSubset:
-    """The endpoints in use, the standby ones, and the traffic that decides how many there are."""
+    """Chooses the endpoints in use; the others are on standby. The traffic determines how many are in use."""
 
     def __init__(self, settings: RouterSettings, endpoints: EndpointTable, warm_up: WarmUp) -> None:
         idle_ms = settings.connection_idle_ms
@@ -26,12 +26,12 @@
         self._warm_up = warm_up
         self.arrivals, self._counted_arrivals = 0, 0
         self.arrivals_per_endpoint_s = 0.0
-        # How many endpoints the traffic keeps connected.
+        # The number of endpoints that the traffic can keep connected.
         self.target_size = 0.0
-        # By index, and those of them that were warming up when chosen.
+        # The endpoints in use, by index, and those of them that were warming up when chosen.
         self.in_use: list[Endpoint] = []
         self.warming_in_use: list[Endpoint] = []
-        # Worked out when asked for.
+        # Computed on demand.
         self._standby: list[Endpoint] | None = None
 
     def record_arrival(self) -> None:
@@ -39,30 +39,30 @@
         self.arrivals += 1
 
     def measure_traffic(self, period_ms: float) -> None:
-        """Take in the requests of the control period that ends now."""
+        """Update the target size from the requests of the control period that ends now."""
         arrived = self.arrivals - self._counted_arrivals
         self._counted_arrivals = self.arrivals
         self.arrivals_per_endpoint_s = arrived * 1000.0 / period_ms / max(1, len(self._endpoints.ready))
-        # What comes within the idle time of a connection finds it open.
-        wanted = arrived * self._idle_ms / period_ms
-        self.target_size = max(wanted, self.target_size + _SHRINK_PART * (wanted - self.target_size))
+        # A connection stays open if a request uses it within the idle timeout.
+        target = arrived * self._idle_ms / period_ms
+        self.target_size = max(target, self.target_size + _SHRINK_STEP * (target - self.target_size))
 
     def choose(self, now: float) -> list[Endpoint]:
         """Choose the endpoints in use; returns the ready ones that are warming up."""
-        most = max(_MIN_IN_USE, int(self.target_size))
-        # An ejected endpoint does not count: the next in rank stands in.
+        max_count = max(_MIN_IN_USE, int(self.target_size))
+        # An ejected endpoint is replaced by the next in rank.
         available = (each for each in self._endpoints.by_rank if now >= each.ejected_until_ms)
-        chosen = set(islice(available, most))
-        # A cold endpoint is in use by all dispatchers: its budget goes round among them.
-        cold = self._warm_up.warming_endpoints(now)
-        chosen.update([each for each in cold if now >= each.ejected_until_ms])
+        chosen = set(islice(available, max_count))
+        # All dispatchers use every warming endpoint, because they take turns with its slow-start budget.
+        warming = self._warm_up.warming_endpoints(now)
+        chosen.update([each for each in warming if now >= each.ejected_until_ms])
         if len(chosen) == len(self._endpoints.ready):
             self.in_use = self._endpoints.ready.copy()
         else:
             self.in_use = sorted(chosen, key=lambda each: each.index)
-        self.warming_in_use = [each for each in cold if each in chosen]
+        self.warming_in_use = [each for each in warming if each in chosen]
         self._standby = None
-        return cold
+        return warming
 
     def includes_all(self) -> bool:
         """Whether all ready endpoints are in use."""
--- a/dunepulley/routing/timers.py
+++ b/dunepulley/routing/timers.py
@@ -1,4 +1,4 @@
-"""Timers of a router: a heap of callbacks, and the one alarm that the owner of the router is asked to set."""
+"""The timers of a router: a heap of callbacks, and the one alarm that the caller of the router has to set."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class Timer(NamedTuple):
-    """One callback that is due; of two that are due at one time the one scheduled first comes first."""
+    """A scheduled callback; callbacks that are due at the same time run in the order of scheduling."""
 
     due_ms: float
     sequence: int
@@ -21,33 +21,33 @@
 
 
 class TimerQueue:
-    """Callbacks by the time at which they are due."""
+    """Scheduled callbacks, ordered by due time."""
 
     def __init__(self) -> None:
         self.entries: list[Timer] = []
         self._sequence = 0
-        # When the alarm that was asked for last is to ring, and its token; `INFINITY` once it has rung.
+        # When the latest alarm fires, and its token; `INFINITY` once it has fired.
         self.alarm_at_ms = INFINITY
         self.token = 0
 
     def schedule(self, due_ms: float, action: Action) -> None:
-        """Call `action` with the time, once that is `due_ms` or later."""
+        """Schedule `action` to be called at `due_ms` or later, with the current time."""
         self._sequence += 1
         heappush(self.entries, Timer(due_ms, self._sequence, action))
 
     def run_due(self, now: float) -> None:
-        """Call what is due, also what becomes due meanwhile."""
+        """Call all actions that are due, including those that become due during the calls."""
         entries = self.entries
         while entries and entries[0][0] <= now:
             heappop(entries).action(now)
 
     def alarm_fired(self, token: int) -> None:
-        """Take in that an alarm has rung; one that a sooner one has replaced counts for nothing."""
+        """Note that an alarm has fired; one that was replaced by an earlier alarm is ignored."""
         if token == self.token:
             self.alarm_at_ms = INFINITY
 
     def next_alarm(self) -> float | None:
-        """When a new alarm has to ring, if the one that is set would ring too late; its token is `token`."""
+        """The time of a new alarm with the token `token`, or None if the current one fires in time."""
         if not self.entries or self.entries[0][0] >= self.alarm_at_ms:
             return None
         self.token += 1
--- a/dunepulley/routing/warm_state.py
+++ b/dunepulley/routing/warm_state.py
@@ -1,7 +1,7 @@
-"""Warm state: what one process of a dispatcher has learned, exported, and imported by the next one.
+"""Warm state: exports the learned state of a dispatcher process, and imports it into its successor.
 
-The exported map is handed over in a hot restart between versions, so that its keys stay. A value that it does
-not hold, or holds in another form, stays as a fresh start has it.
+The exported map is passed between versions in a hot restart, so its keys must not change. A value that is
+missing or has the wrong type keeps its initial value.
 """
 
 from __future__ import annotations
@@ -12,8 +12,8 @@
 from .request import RequestClass
 from .router import Router
 
-# By its key in the map, the attribute of an endpoint: what was reported and when, how it runs, and whether it
-# is ejected. Not turns, connections and what goes with attempts that are out, which are each process's own.
+# The attributes of an endpoint by their keys in the map: reported figures, running times and ejection. Turns,
+# connections and the state of attempts in flight belong to each process and are not exported.
 ENDPOINT_FIELDS = {
     "since": "started_ms",
     "share": "share",
@@ -37,19 +37,19 @@
     "fresh": "first_timeout_ms",
     "steady": "fixed_timeout_fraction",
 }
-# By its key, the part of the router and its attribute.
+# The parts of the router and their attributes, by key.
 ROUTER_FIELDS = {
     "mean_work": ("classes", "mean_slot_ms"),
     "credit": ("retry_budget", "balance"),
     "further_success": ("retry_budget", "success_rate"),
     "want_used": ("subset", "target_size"),
 }
-# Beyond this a number is no figure that was learned.
-_MOST = 1e300
+# Numbers that reach this magnitude are ignored as invalid.
+_MAX_NUMBER = 1e300
 
 
 def export_state(router: Router) -> dict[str, Any]:
-    """All that is worth passing on."""
+    """The learned state as a JSON-compatible map."""
     endpoints = router.endpoints
     names = [each.endpoint_id for each in endpoints.all]
 
@@ -58,7 +58,7 @@
 
     return {
         "workers": {key: column(attribute) for key, attribute in ENDPOINT_FIELDS.items()},
-        # What this process has out is there for the next one, too, but not as its own.
+        # To the next process, the slots held by this one count as held by another dispatcher.
         "out": column("own_slots"),
         "kinds": {
             "kind_slots": endpoints.slots_by_kind,
@@ -78,7 +78,7 @@
 
 
 def import_state(router: Router, state: Any) -> None:
-    """Have the router go on from what another process has learned, as far as that can be read."""
+    """Import the learned state of another process into the router, as far as it is valid."""
     _import_endpoints(router, state)
     _import_kinds(router, state)
     for name, request_class in router.classes.by_name.items():
@@ -91,16 +91,16 @@
 
 def _import_endpoints(router: Router, state: Any) -> None:
     columns = {key: _numbers(state, "workers", key) for key in ENDPOINT_FIELDS}
-    # Where no reports tell that it has ended, what is out there would be believed for too long.
+    # Without load reports, these slots would be counted for too long after the attempts have ended.
     has_reports = router.settings.reports.source != "none"
-    held = _numbers(state, "out") if has_reports else {}
+    slots_held = _numbers(state, "out") if has_reports else {}
     started = columns["since"]
-    # The others are not known there, or have started again meanwhile.
-    same = [each for each in router.endpoints.all if started.get(each.endpoint_id) == each.started_ms]
+    # Endpoints that the other process did not know, or that have restarted since, are left out.
+    unchanged = [each for each in router.endpoints.all if started.get(each.endpoint_id) == each.started_ms]
     for key, attribute in ENDPOINT_FIELDS.items():
-        _import_column(same, attribute, columns[key])
-    for endpoint in same:
-        endpoint.other_slots += held.get(endpoint.endpoint_id, 0.0)
+        _import_column(unchanged, attribute, columns[key])
+    for endpoint in unchanged:
+        endpoint.other_slots += slots_held.get(endpoint.endpoint_id, 0.0)
 
 
 def _import_column(endpoints: list[Endpoint], attribute: str, values: dict[str, float]) -> None:
@@ -115,9 +115,9 @@
     endpoints.capacity_by_kind |= _numbers(state, "kinds", "kind_size")
     for kind, runs in _mapping(state, "kinds", "kind_runs").items():
         is_pair = isinstance(runs, list) and len(runs) == 2 and all([_is_finite(run) for run in runs])
-        known = router.run_times.by_kind.get(kind)
-        if known is not None and is_pair:
-            known.observed_ms, known.expected_ms = runs
+        run_time = router.run_times.by_kind.get(kind)
+        if run_time is not None and is_pair:
+            run_time.observed_ms, run_time.expected_ms = runs
     endpoints.apply_known_slots()
 
 
@@ -134,11 +134,11 @@
 
 
 def _numbers(state: Any, *path: str) -> dict[str, float]:
-    """The finite numbers of a map somewhere in the state."""
+    """The valid numbers in the map at this path of the state."""
     return {name: float(value) for name, value in _mapping(state, *path).items() if _is_finite(value)}
 
 
 def _is_finite(value: Any) -> bool:
-    # Nearly all are plain floats, of which there are thousands.
+    # Plain floats are checked first for speed: nearly all of the thousands of values are.
     is_number = type(value) is float or (isinstance(value, int | float) and not isinstance(value, bool))
-    return is_number and -_MOST < value < _MOST
+    return is_number and -_MAX_NUMBER < value < _MAX_NUMBER
--- a/tests/routing/operations.py
+++ b/tests/routing/operations.py
@@ -1,4 +1,4 @@
-"""Counts the interpreter's steps within the routing package: the same figure each time, busy or not."""
+"""Counts interpreter steps within the routing package: unlike CPU time, the count does not depend on load."""
 
 from __future__ import annotations
 
@@ -8,22 +8,22 @@
 
 from dunepulley.routing import router
 
-# Every module that decides; the message types are left out, as their code is generated.
-NOT_COUNTED = ("events.py", "commands.py")
-COUNTED = frozenset(
-    [str(path) for path in Path(router.__file__).parent.glob("*.py") if path.name not in NOT_COUNTED]
+# All modules are counted except those of the message types, whose code is generated.
+EXCLUDED_FILES = ("events.py", "commands.py")
+COUNTED_FILES = frozenset(
+    [str(path) for path in Path(router.__file__).parent.glob("*.py") if path.name not in EXCLUDED_FILES]
 )
 
 
-class Counted:
-    """A dispatcher of which each call's bytecode steps are counted."""
+class CountedDispatcher:
+    """Wraps a dispatcher and counts the bytecode steps of each call."""
 
     def __init__(self, dispatcher: Any) -> None:
         self.dispatcher = dispatcher
         self.calls: list[int] = []
 
     def handle(self, now: float, events: list[Any]) -> list[Any]:
-        """As `Router.handle`."""
+        """Call `Router.handle` and count its steps."""
         steps = 0
 
         def trace(frame: Any, event: str, _: Any) -> Any:
@@ -31,7 +31,7 @@
             if event == "opcode":
                 steps += 1
             elif event == "call":
-                if frame.f_code.co_filename not in COUNTED:
+                if frame.f_code.co_filename not in COUNTED_FILES:
                     return None
                 frame.f_trace_lines, frame.f_trace_opcodes = False, True
             return trace
--- a/tests/routing/slow_start.py
+++ b/tests/routing/slow_start.py
@@ -1,4 +1,4 @@
-"""Dispatchers in lock step around one endpoint that has just started, and the budget that it can bear."""
+"""Simulates dispatchers that send to one endpoint that is warming up, and checks its slow-start budget."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 )
 from dunepulley.routing.router import Router
 
-# Unix time in ms: anything that is not near the start of the clock.
+# Start of the simulation in ms; any value well above 0.
 START_MS = 1_000_000.0
 STEP_MS = 50.0
 WINDOW_MS = 1000.0
@@ -34,21 +34,21 @@
 INITIAL_CAPACITY = 0.1
 OVERLOAD_MULTIPLE = 4.0
 KIND = "box"
-# The deadline of every class, in mean requests.
+# The deadline of every class, as a multiple of the mean work.
 DEADLINE_REQUESTS = 8.0
 
 
-class Sent(NamedTuple):
-    """One attempt at the endpoint that started."""
+class SentAttempt(NamedTuple):
+    """One attempt sent to the endpoint."""
 
-    when: float
+    sent_ms: float
     work_ms: float
-    is_notified: bool  # whether its dispatcher had been notified of the start
+    is_notified: bool  # whether its dispatcher had been notified of the endpoint's start
 
 
 @dataclass(eq=False)
 class Process:
-    """One process of a dispatcher, and the work of each request that it got."""
+    """One process of a dispatcher, and the work of each request that it received."""
 
     number: int
     router: Router
@@ -56,7 +56,7 @@
 
 
 class Running(NamedTuple):
-    """An attempt at the endpoint, by when it ends."""
+    """A running attempt at the endpoint, ordered by its end."""
 
     end_ms: float
     sequence: int
@@ -66,30 +66,30 @@
 
 @dataclass
 class Fleet:
-    """Seeded dispatchers that know nothing of each other; every request would go to the one endpoint."""
+    """Seeded dispatchers without gossip and one endpoint, which is the only target of all requests."""
 
     dispatchers: int
     slots: float = 2.0
     seed: int = 1
     mean_work_ms: float = 100.0
-    spread: float = 0.0  # of the work, as a part of the mean
+    spread: float = 0.0  # of the work, as a fraction of the mean
     hints: bool = True
-    demand: float = 2.0  # times what the endpoint can bear when it is warm, of all dispatchers together
+    demand: float = 2.0  # of all dispatchers, as a multiple of what the endpoint can serve when warm
     settings: dict[str, object] = field(default_factory=dict)
 
     def __post_init__(self) -> None:
         self.random = Random(self.seed)
         self.now = START_MS
         self.started_ms = 0.0
-        self.sent: list[Sent] = []
+        self.sent: list[SentAttempt] = []
         self.sequence = 0
         self.running: list[Running] = []
-        # The start of the endpoint that each dispatcher was notified of last.
+        # The latest start of the endpoint that each dispatcher was notified of.
         self.notified_ms: dict[int, float] = {}
-        self.members: list[list[Process]] = [[self.new(number)] for number in range(self.dispatchers)]
+        self.members: list[list[Process]] = [[self.new_process(number)] for number in range(self.dispatchers)]
 
-    def new(self, number: int, remembers: bool = True) -> Process:
-        """A process that starts now; one that remembers knows how many slots an endpoint has."""
+    def new_process(self, number: int, remembers: bool = True) -> Process:
+        """A process that starts now; if it `remembers`, it knows the slots and the running times."""
         settings = SETTINGS | {
             "balancers": float(self.dispatchers),
             "me": float(number),
@@ -109,33 +109,33 @@
         return Process(number, router)
 
     def work_ms(self) -> float:
-        """The work of one request."""
+        """The random work of one request, in ms."""
         return self.mean_work_ms * self.random.uniform(1.0 - self.spread, 1.0 + self.spread)
 
     def start_endpoint(self) -> None:
-        """The endpoint starts, now."""
+        """Let the endpoint start or restart now."""
         self.started_ms = self.now
 
     def notify(self, *numbers: int) -> None:
-        """Notify dispatchers (all, if none is named) of the endpoint as it is now."""
+        """Notify dispatchers (all, if no number is given) of the endpoint's current start."""
         for number in numbers or range(self.dispatchers):
             for process in self.members[number]:
                 self.notify_one(process)
             self.notified_ms[number] = self.started_ms
 
     def notify_one(self, process: Process, state: str = EndpointState.READY) -> None:
-        """Notify one process."""
+        """Notify one process of the endpoint's current start and state."""
         listed = endpoint_entry(0, since=self.started_ms, kind=KIND, state=state)
         self.feed(process, EndpointListUpdate(ListUpdateKind.FULL, (listed,)))
 
     def restart(self, *numbers: int) -> None:
-        """Dispatchers start again with nothing remembered but the list."""
+        """Restart dispatchers; the new processes know nothing but the endpoint list."""
         for number in numbers:
-            self.members[number] = [self.new(number, remembers=False)]
+            self.members[number] = [self.new_process(number, remembers=False)]
         self.notify(*numbers)
 
     def run(self, duration_ms: float, each: Callable[[], None] = lambda: None) -> None:
-        """Let time pass, with requests at every dispatcher; `each` is called at each step."""
+        """Simulate a period with requests at every dispatcher; `each` is called at each step."""
         until = self.now + duration_ms
         while self.now < until:
             self.now += STEP_MS
@@ -150,7 +150,7 @@
                 self.arrive(self.random.choice(processes))
 
     def arrive(self, process: Process) -> None:
-        """One request."""
+        """Let one request arrive."""
         self.sequence += 1
         work_ms = self.work_ms()
         hint_ms = work_ms if self.hints else 0.0
@@ -160,7 +160,7 @@
         self.feed(process, RequestArrived(request_id, "look", timeout_ms, expected_ms=hint_ms))
 
     def end_attempts(self) -> None:
-        """Attempts end after their work; the endpoint never falls, so that it can be asked for more."""
+        """End attempts whose work is done; the endpoint never fails, so that overloads become visible."""
         done = []
         while self.running and self.running[0].end_ms <= self.now:
             done.append(heappop(self.running))
@@ -169,46 +169,48 @@
                 self.feed(process, event)
 
     def feed(self, process: Process, event: Event) -> None:
-        """Hand over one event, and note what is sent."""
+        """Pass one event to a process and record the attempts that it sends."""
         router = process.router
         for attempt in commands_of(StartAttempt, router.handle(self.now, [event])):
             request_id, endpoint_id, *_ = attempt
             work_ms = process.work_ms[request_id]
             is_notified = self.notified_ms.get(process.number) == self.started_ms
-            self.sent.append(Sent(self.now, work_ms, is_notified))
+            self.sent.append(SentAttempt(self.now, work_ms, is_notified))
             ended = AttemptEnded(request_id, 0, AttemptResult.COMPLETED, endpoint_id, answered=True)
             self.sequence += 1
             heappush(self.running, Running(self.now + work_ms, self.sequence, process, ended))
             router.handle(self.now, [AttemptStarted(request_id, 0)])
-            # The slots that this takes at the endpoint are not what this is about.
+            # Only the budget should limit attempts, not the slots that they hold.
             release_slots(router, router.endpoints.all[0])
 
-    def budget(self, when: float) -> float:
-        """How many requests of mean work the endpoint bears in the window that ends then."""
-        age_ms = when - self.started_ms
+    def budget(self, window_end_ms: float) -> float:
+        """How many requests of mean work the endpoint can serve in a window, with random variation."""
+        age_ms = window_end_ms - self.started_ms
         capacity = min(1.0, INITIAL_CAPACITY + (1.0 - INITIAL_CAPACITY) * age_ms / WARM_UP_MS)
         allowed = OVERLOAD_MULTIPLE * capacity * self.slots * WINDOW_MS / self.mean_work_ms
         return allowed + (3.0 * sqrt(allowed) + 3.0 if allowed < 30.0 else 2.0 * sqrt(allowed) + 2.0)
 
     def overloads(self) -> list[tuple[float, float, float]]:
-        """The windows with more than it bears, most of it from dispatchers that had been notified.
+        """The windows with more than the budget, of which notified dispatchers sent more than two thirds.
 
-        As (ms since the start, mean requests sent, mean requests that it bears).
+        Each is (ms since the endpoint's start, requests sent, budget), in requests of mean work.
         """
         found = []
         for last in self.sent:
-            if not self.started_ms <= last.when < self.started_ms + WARM_UP_MS:
+            if not self.started_ms <= last.sent_ms < self.started_ms + WARM_UP_MS:
                 continue
-            window = [one for one in self.sent if last.when - WINDOW_MS < one.when <= last.when]
-            window = [one for one in window if one.when >= self.started_ms]
-            total_ms = sum([one.work_ms for one in window])
-            notified_ms = sum([one.work_ms for one in window if one.is_notified])
-            requests, budget = total_ms / self.mean_work_ms, self.budget(last.when)
+            window = [
+                attempt for attempt in self.sent if last.sent_ms - WINDOW_MS < attempt.sent_ms <= last.sent_ms
+            ]
+            window = [attempt for attempt in window if attempt.sent_ms >= self.started_ms]
+            total_ms = sum([attempt.work_ms for attempt in window])
+            notified_ms = sum([attempt.work_ms for attempt in window if attempt.is_notified])
+            requests, budget = total_ms / self.mean_work_ms, self.budget(last.sent_ms)
             if requests > budget and notified_ms > 2.0 / 3.0 * total_ms:
-                found.append((last.when - self.started_ms, requests, budget))
+                found.append((last.sent_ms - self.started_ms, requests, budget))
         return found
 
     def received(self) -> int:
-        """How many attempts the endpoint got while it was warming up."""
+        """How many attempts the endpoint received while it was warming up."""
         end_ms = self.started_ms + WARM_UP_MS
-        return sum([self.started_ms <= one.when < end_ms for one in self.sent])
+        return sum([self.started_ms <= attempt.sent_ms < end_ms for attempt in self.sent])
--- a/tests/routing/test_affinity.py
+++ b/tests/routing/test_affinity.py
@@ -1,4 +1,4 @@
-"""Cache affinity: requests with a key go to the same endpoints from all dispatchers."""
+"""Cache affinity: all dispatchers send requests with the same key to the same endpoints."""
 
 from routing_support import report, set_slots
 from support.router_rig import RouterRig, commands_of, endpoint_entry
@@ -14,8 +14,8 @@
 )
 
 
-def test_requests_with_a_key_go_to_the_same_endpoints_from_all_dispatchers():
-    # Guards against filling the cache of every endpoint with what a key needs.
+def test_all_dispatchers_send_a_key_to_the_same_endpoints():
+    # Guards against filling the cache of every endpoint with the data of every key.
     rigs = [RouterRig(endpoints=12, seed=number, me=float(number)) for number in range(8)]
     for rig in rigs:
         set_slots(rig, 4.0)
@@ -32,7 +32,7 @@
     assert len(set.union(*chosen.values())) > 4
 
 
-def test_an_ejected_endpoint_leaves_its_place_to_the_next_in_the_order_of_the_key():
+def test_next_endpoint_in_key_order_replaces_an_ejected_one():
     rig = RouterRig(endpoints=12)
     affinity = rig.router.affinity
     affinity.record("key")
@@ -43,17 +43,17 @@
     assert next(affinity.groups("key", rig.now + 1.0)) == [first, second]
 
 
-def test_a_key_with_much_of_the_traffic_has_more_endpoints():
+def test_key_with_more_traffic_has_more_endpoints():
     rig = RouterRig(endpoints=12)
     affinity = rig.router.affinity
     for number in range(100):
         affinity.record("often" if number % 2 else f"seldom {number}")
     counts = [sum(map(len, affinity.groups(key, rig.now))) for key in ("often", "seldom 2")]
-    # Two more than its part of the traffic: half of the twelve, and none.
+    # Two more than the key's fraction of the traffic: half of the twelve endpoints, and none.
     assert counts == [7, 2]
 
 
-def test_the_order_of_a_key_takes_in_what_changes_in_the_list():
+def test_list_changes_are_applied_to_the_order_of_a_key():
     rig = RouterRig(endpoints=12)
     affinity = rig.router.affinity
     affinity.record("key")
--- a/tests/routing/test_events.py
+++ b/tests/routing/test_events.py
@@ -13,8 +13,9 @@
 )
 
 
-def test_news_of_a_batch_comes_before_its_new_requests():
-    # Guards against attempts of a resumed process at draining endpoints, and for clients that have left.
+def test_other_events_of_a_batch_come_before_new_requests():
+    # Guards against a process that resumes after a stall and sends attempts to endpoints that were removed,
+    # or for clients that have disconnected, because it handles the requests first.
     rig = RouterRig(endpoints=2)
     batch = [
         RequestArrived("a", "look", 4000.0),
--- a/tests/routing/test_health_checks.py
+++ b/tests/routing/test_health_checks.py
@@ -1,4 +1,4 @@
-"""When endpoints are asked for a load report."""
+"""When health checks are sent."""
 
 import pytest
 from routing_support import large_fleet, report, set_other_slots, set_slots
@@ -14,8 +14,8 @@
 )
 
 
-def test_where_reports_come_by_health_checks_alone_endpoints_are_checked():
-    # Otherwise none of their slots is known, and each counts as an endpoint with a single slot.
+def test_endpoints_are_checked_if_reports_come_only_from_health_checks():
+    # Without checks the number of slots stays unknown, and each endpoint counts as one with a single slot.
     load_report = {"x0": 4.0, "queue": 0.0}
     rig = RouterRig(reporting__how="probe", policyLimits__probing=True, prices__probe=0.01)
     checked, sent = [], []
@@ -28,11 +28,11 @@
                 sent.append(command.endpoint_id)
     # Six at the start, then one for every two requests, and each endpoint as often as the others.
     assert 25 <= len(checked) <= 26 and {checked.count(f"w{number}") for number in range(4)} <= {6, 7}
-    assert len(sent) >= 12, "most of sixteen slots; without health checks it is one each"
+    assert len(sent) >= 12, "most of the 16 slots should be in use, not one per endpoint"
 
 
 @pytest.mark.parametrize(("how", "probing"), [("probe", False), ("answers", True), ("none", True)])
-def test_elsewhere_a_request_causes_no_health_check(how, probing):
+def test_requests_cause_no_health_check_with_other_report_sources(how, probing):
     rig = RouterRig(reporting__how=how, policyLimits__probing=probing)
     for number in range(9):
         assert not commands_of(CheckHealth, rig.feed(RequestArrived(str(number), "look", 4000.0)))
@@ -42,24 +42,25 @@
     ("how", "dispatchers", "is_checked"),
     [("answers", 1.0, True), ("none", 1.0, False), ("answers", 2.0, False)],
 )
-def test_an_endpoint_believed_to_be_full_is_checked_now_and_then(how, dispatchers, is_checked):
+def test_endpoint_estimated_to_be_full_is_checked_periodically(how, dispatchers, is_checked):
     settings = {"reporting__how": how, "reporting__fields": ("x0",), "policyLimits__probing": True}
     rig = RouterRig(endpoints=1, balancers=dispatchers, **settings)
     rig.router.endpoints.slots_by_kind["box"] = 4.0
     set_slots(rig, 4.0)
     rig.feed(RequestArrived("a", "look", 4000.0))
-    # A queue stands there, of which nothing more is reported.
+    # The endpoint is full, and no report follows.
     rig.feed(AttemptEnded("a", 0, AttemptResult.REJECTED, "w0"), after=10.0)
     checks = sum([len(commands_of(CheckHealth, rig.feed(TimerFired(0), after=50.0))) for _ in range(60)])
     assert checks == (2 if is_checked else 0)  # in three seconds, from one second after the last report
     if is_checked:
-        for free in (3.0, 4.0):
-            rig.feed(HealthCheckEnded("w0", AttemptResult.COMPLETED, 1.0, report(1.0, free)), after=1100.0)
+        for slots in (3.0, 4.0):
+            rig.feed(HealthCheckEnded("w0", AttemptResult.COMPLETED, 1.0, report(1.0, slots)), after=1100.0)
         assert commands_of(StartAttempt, rig.feed(RequestArrived("b", "look", 4000.0)))
 
 
 def test_with_size_classes_no_endpoint_is_checked():
-    # Guards against forty dispatchers that check sixty endpoints: a report is stale by the next attempt.
+    # Guards against useless checks by forty dispatchers of sixty endpoints: a report is stale by the time of
+    # the dispatcher's next attempt there.
     rig = large_fleet(policyLimits__probing=True, reporting__how="answers")
     set_other_slots(rig, 9.0)
     for _ in range(40):
--- a/tests/routing/test_in_flight.py
+++ b/tests/routing/test_in_flight.py
@@ -1,11 +1,11 @@
-"""The slots that own attempts hold, and the connections that they leave open."""
+"""The slots held by a dispatcher's attempts, and the connections that they leave open."""
 
 from dunepulley.routing.endpoints import EndpointTable
 from dunepulley.routing.in_flight import InFlight
 from dunepulley.routing.settings import RouterSettings
 
 
-def test_slots_are_held_from_the_start_of_an_attempt_to_its_end():
+def test_slots_are_held_from_start_to_end_of_an_attempt():
     in_flight = InFlight(RouterSettings.from_mapping({"policyLimits.connIdleMs": 5000.0}))
     endpoint = EndpointTable("").add("w0", 0.0)
     in_flight.start(endpoint, 2.0)
@@ -17,7 +17,7 @@
     assert endpoint.own_slots == 0.0 and not in_flight.endpoints
 
 
-def test_an_attempt_leaves_its_connection_open_and_the_next_one_takes_it():
+def test_connection_stays_open_after_an_attempt_and_is_reused():
     in_flight = InFlight(RouterSettings.from_mapping({"policyLimits.connIdleMs": 5000.0}))
     endpoint = EndpointTable("").add("w0", 0.0)
     in_flight.start(endpoint, 1.0)
@@ -27,7 +27,7 @@
     assert endpoint.connection_until_ms == 0.0
 
 
-def test_where_the_idle_time_is_unknown_no_connection_is_taken_to_be_open():
+def test_connection_counts_as_closed_if_idle_timeout_is_unknown():
     in_flight = InFlight(RouterSettings.from_mapping({}))
     endpoint = EndpointTable("").add("w0", 0.0)
     in_flight.start(endpoint, 1.0)
--- a/tests/routing/test_inspection.py
+++ b/tests/routing/test_inspection.py
@@ -1,4 +1,4 @@
-"""What people and agents are told of a router's state."""
+"""Views of a router's state for operators and agents."""
 
 import pytest
 from routing_support import endpoints_of
@@ -19,7 +19,8 @@
 )
 
 
-def inspected():
+def inspected_router():
+    """A router with the endpoints of `ENTRIES`."""
     rig = RouterRig(endpoints=0, now=NOW_MS, kinds=("box", "large"), familyInfo__classKind=(1.0, -1.0, 5.0))
     rig.feed(EndpointListUpdate(ListUpdateKind.FULL, ENTRIES))
     rig.router.endpoints.slots_by_kind |= {"box": 4.0}
@@ -29,16 +30,16 @@
     return rig.router
 
 
-def test_endpoints_are_counted_with_those_that_get_no_usual_turns():
-    assert inspection.count_endpoints(inspected()) == (5, 2)
+def test_listed_and_avoided_endpoints_are_counted():
+    assert inspection.count_endpoints(inspected_router()) == (5, 2)
 
 
-def test_ejected_endpoints_are_those_that_are_listed():
-    assert inspection.ejected_endpoints(inspected()) == {"w1"}
+def test_ejected_endpoints_include_only_listed_ones():
+    assert inspection.ejected_endpoints(inspected_router()) == {"w1"}
 
 
-def test_an_endpoint_is_described_for_people():
-    router = inspected()
+def test_endpoint_description_for_operators():
+    router = inspected_router()
     seen = inspection.describe_endpoint(router, "w0")
     share = round(router.endpoints.all[0].share, 4)
     assert seen == {"out": 1.0, "others": 1.23, "slots": 1.0, "share": share, "on trial": False}
@@ -47,29 +48,29 @@
     assert inspection.describe_endpoint(router, "w9") == {}
 
 
-def test_the_slots_of_an_endpoint_and_those_that_its_age_lets_it_use():
-    router = inspected()
+def test_endpoint_slots_include_warm_slots():
+    router = inspected_router()
     assert inspection.endpoint_slots(router, "w0") == (4.0, 4.0, 1.0)
-    # A kind that was never seen with slots available has as many as the least of the others.
+    # A kind with unknown slots counts as the smallest known kind.
     assert inspection.endpoint_slots(router, "w4") == (4.0, 4.0, 0.0)
     assert inspection.endpoint_slots(router, "w5") == pytest.approx((4.0, 4.0 * (0.2 + 0.8 * 0.5), 0.0))
     assert inspection.endpoint_slots(router, "w9") == (0.0, 0.0, 0.0)
 
 
-def test_the_loads_of_zones_are_the_sums_of_their_ready_endpoints():
+def test_zone_loads_are_sums_over_ready_endpoints():
     ready = [each for each in ENTRIES if each.state == EndpointState.READY]
-    zones = inspection.zone_loads(inspected(), ready)
-    # Three of them: one ejected, so that the slots are of the other two.
+    zones = inspection.zone_loads(inspected_router(), ready)
+    # Three endpoints, of which one is ejected, so that the slots are those of the other two.
     assert zones["here"] == pytest.approx([3, 1, 8.0, 4.0 + 4.0 * 0.6, 3.0, 0, 0])
     assert zones["there"] == [1, 0, 4.0, 4.0, 0.0, 0, 0]
 
 
-def test_the_kind_of_endpoint_that_each_class_must_go_to():
-    assert inspection.required_kinds(inspected()) == {"look": "large", "store": "", "pay": ""}
+def test_required_kind_of_each_class():
+    assert inspection.required_kinds(inspected_router()) == {"look": "large", "store": "", "pay": ""}
 
 
-def test_the_work_of_a_request_is_known_once_its_class_has_run_ten_times():
-    router = inspected()
+def test_expected_work_is_known_after_ten_runs_of_the_class():
+    router = inspected_router()
     request = RequestArrived("a", "look", 4000.0, slots=2.0, memory=3.0)
     assert inspection.expected_work(router, request) == 0.0
     assert inspection.expected_work(router, request._replace(expected_ms=50.0)) == 150.0
--- a/tests/routing/test_lifecycle.py
+++ b/tests/routing/test_lifecycle.py
@@ -1,4 +1,4 @@
-"""The life of a request: hedged and moved attempts, and its latency objective."""
+"""The lifecycle of a request: hedged and moved attempts, and the latency objective."""
 
 import pytest
 from support.router_rig import RouterRig, commands_of
@@ -14,12 +14,12 @@
 
 
 @pytest.mark.parametrize(("start_delay_ms", "is_hedged"), [(0.0, True), (150.0, False)])
-def test_an_attempt_still_on_its_way_is_not_hedged(start_delay_ms, is_hedged):
+def test_attempt_within_its_usual_start_time_is_not_hedged(start_delay_ms, is_hedged):
     rig = RouterRig(endpoints=4)
     rig.feed(RequestArrived("first", "look", 5000.0, expected_ms=100.0))
     rig.feed(AttemptStarted("first", 0), after=start_delay_ms)
     rig.feed(AttemptEnded("first", 0, AttemptResult.COMPLETED, rig.sent["first"][0][0], answered=True))
-    # Guards against hedging while a connection is still being made: such a start takes its usual time.
+    # Guards against hedging while a connection is being established, when a start takes its usual time.
     rig.feed(RequestArrived("a", "look", 5000.0, expected_ms=50.0))
     for _ in range(20):
         rig.feed(TimerFired(rig.router.timers.token), after=10.0)
@@ -35,7 +35,7 @@
         ({"familyInfo__tellsStart": False}, None),
     ],
 )
-def test_an_attempt_that_does_not_start_is_moved_as_the_settings_allow(settings, kind):
+def test_attempt_that_does_not_start_is_hedged_or_moved_if_allowed(settings, kind):
     rig = RouterRig(endpoints=3, **settings)
     rig.feed(RequestArrived("a", "look", 5000.0, expected_ms=200.0))
     moved = [
@@ -46,7 +46,7 @@
         assert not commands_of(StartAttempt, moved)
 
 
-def test_of_two_hedged_attempts_the_first_to_start_is_kept():
+def test_first_of_two_hedged_attempts_to_start_is_kept():
     rig = RouterRig(endpoints=3)
     rig.feed(RequestArrived("a", "look", 5000.0, expected_ms=200.0))
     for _ in range(9):
@@ -63,12 +63,12 @@
 
 
 @pytest.mark.parametrize("first", [0, 1])
-def test_a_running_attempt_is_neither_given_up_nor_hedged(first):
+def test_running_attempt_is_neither_cancelled_nor_hedged(first):
     rig = RouterRig(endpoints=4)
     rig.feed(RequestArrived("a", "look", 5000.0, expected_ms=200.0))
     while len(rig.sent["a"]) < 2:
         rig.feed(TimerFired(rig.router.timers.token), after=50.0)
-    # Guards against giving up a running request once its hedge was cancelled, and against running both.
+    # Guards against cancelling the running attempt after its hedge was cancelled, and against running both.
     rig.feed(AttemptStarted("a", first))
     assert CancelAttempt("a", 1 - first) in rig.feed(AttemptStarted("a", 1 - first), after=5.0)
     rig.feed(AttemptEnded("a", 1 - first, AttemptResult.CANCELLED, rig.sent["a"][1 - first][0]))
@@ -82,14 +82,12 @@
     )
 
 
-@pytest.mark.parametrize(("request_class", "is_given_up"), [("look", True), ("pay", False)])
-def test_an_attempt_that_can_only_start_too_late_is_given_up_where_the_client_may_retry(
-    request_class, is_given_up
-):
-    # Guards against requests that can only end late, and keep those behind them from ending in time.
+@pytest.mark.parametrize(("request_class", "is_rejected"), [("look", True), ("pay", False)])
+def test_attempt_that_can_only_end_late_is_cancelled_if_client_may_retry(request_class, is_rejected):
+    # Guards against requests that can only complete late and delay those queued behind them.
     rig = RouterRig(endpoints=1, policyLimits__secondCopies=False)
     rig.feed(RequestArrived("a", request_class, 5000.0, expected_ms=200.0))
     commands = [each for _ in range(13) for each in rig.feed(TimerFired(rig.router.timers.token), after=50.0)]
-    # Due after 500 ms, of which an endpoint twice as fast as expected takes 100.
-    assert (Reject("a") in commands) is is_given_up
-    assert (CancelAttempt("a", 0) in commands) is is_given_up
+    # The request is due after 500 ms, of which an endpoint twice as fast as expected takes 100 ms.
+    assert (Reject("a") in commands) is is_rejected
+    assert (CancelAttempt("a", 0) in commands) is is_rejected
--- a/tests/routing/test_list_updates.py
+++ b/tests/routing/test_list_updates.py
@@ -31,14 +31,14 @@
         (EndpointListUpdate(ListUpdateKind.FULL), set()),
     ],
 )
-def test_which_endpoints_are_ready_after_an_update(update, ready):
+def test_ready_endpoints_after_an_update(update, ready):
     rig = RouterRig(endpoints=3)
     rig.feed(update)
     endpoints = rig.router.endpoints
     assert {each.endpoint_id for each in endpoints.all if each.state == EndpointState.READY} == ready
     assert {each.endpoint_id for each in endpoints.ready} == ready
     if not ready:
-        # Guards against losing requests while the list is empty: they wait, then are answered.
+        # Guards against losing requests while the list is empty: they are queued and then rejected.
         rig.feed(RequestArrived("a", "look", 700.0))
         for _ in range(20):
             rig.feed(TimerFired(rig.router.timers.token), after=50.0)
--- a/tests/routing/test_load_estimates.py
+++ b/tests/routing/test_load_estimates.py
@@ -1,4 +1,4 @@
-"""What other dispatchers are believed to hold at each endpoint."""
+"""The estimate of slots held by other dispatchers at each endpoint."""
 
 import pytest
 from routing_support import endpoints_of, large_fleet, other_slots, set_other_slots, set_slots
@@ -15,9 +15,10 @@
 
 
 @pytest.mark.parametrize("load_report", [None, {"x0": 0.0, "queue": 4.0}])
-def test_endpoints_that_were_all_full_once_are_tried_again(load_report):
-    # The estimate for an endpoint decays toward the mean of all: when each has rejected a request and no
-    # attempt is open that could bring news, the mean must fall too, or nothing is ever sent again.
+def test_endpoints_are_tried_again_after_all_were_full(load_report):
+    # Estimates decay towards the mean of all endpoints. If each has rejected a request and no attempt is in
+    # flight whose response could correct the estimates, the mean must fall too, or nothing is ever sent
+    # again.
     rig = RouterRig(endpoints=4)
     sent = []
     for number in range(80):
@@ -31,11 +32,11 @@
                 request_id, last, AttemptResult.REJECTED, endpoint, 1.0, False, load_report
             )
             attempts += commands_of(StartAttempt, rig.feed(rejected))
-    # The first finds all four full; later ones are tried within the ten seconds.
+    # The first request finds all four endpoints full; later requests are tried within the ten seconds.
     assert sent[:4] == [0] * 4 and len(sent) >= 8
 
 
-def test_a_live_capacity_is_read_as_load_not_as_size():
+def test_live_capacity_changes_the_load_estimate_not_the_capacity():
     rig = RouterRig(endpoints=0, weightSource="live")
     rig.feed(
         EndpointListUpdate(
@@ -51,17 +52,18 @@
             ),
             after=700.0,
         )
-    # Capacities stay, and an endpoint that the update does not name has not changed.
+    # Capacities do not change, and an endpoint that is missing from an update keeps its estimate.
     assert [endpoint.capacity for endpoint in endpoints_of(rig)] == [8.0] * 3
     assert other_slots(rig) == pytest.approx([4.0, 12.0, 0.0], abs=0.5)
 
 
-def test_warming_endpoints_are_not_believed_to_be_as_full_as_warm_ones():
-    # Guards against new endpoints that stay idle in a release: estimates decay to the mean of all queues.
+def test_load_of_warm_endpoints_does_not_raise_estimates_of_warming_ones():
+    # Guards against new endpoints that stay idle during a rollout, because their estimates
+    # decay to the mean of all queues.
     entries = [endpoint_entry(k, since=100000.0 if k < 30 else 0.0) for k in range(60)]
     rig = large_fleet(entries=entries, now=100000.0)
     set_other_slots(rig, 9.0, slice(30, None))
     for _ in range(40):
         rig.feed(after=250.0)
-    believed = other_slots(rig)
-    assert max(believed[:30]) == 0.0 and min(believed[30:]) > 8.0
+    estimates = other_slots(rig)
+    assert max(estimates[:30]) == 0.0 and min(estimates[30:]) > 8.0
--- a/tests/routing/test_outbox.py
+++ b/tests/routing/test_outbox.py
@@ -4,7 +4,7 @@
 from dunepulley.routing.outbox import Outbox
 
 
-def test_each_batch_has_a_list_of_its_own_in_the_order_of_sending():
+def test_each_batch_has_its_own_list_of_commands_in_order():
     outbox = Outbox()
     first = outbox.start_batch()
     outbox.send(Fail("a"))
--- a/tests/routing/test_outliers.py
+++ b/tests/routing/test_outliers.py
@@ -1,4 +1,4 @@
-"""Ejection of endpoints that fail, and how many requests a failure costs."""
+"""Ejection of failing endpoints, and how many requests a failure costs."""
 
 import pytest
 from routing_support import concentration, endpoints_of, large_fleet
@@ -22,7 +22,7 @@
     for number in range(attempts):
         first = commands_of(StartAttempt, rig.feed(RequestArrived(f"a{number}", "pay", 5000.0)))[0]
         rig.feed(AttemptEnded(f"a{number}", 0, result, first.endpoint_id))
-    # Guards against flooding a broken endpoint: the next request waits, then one trial goes there.
+    # Guards against flooding a broken endpoint: the next request is queued, then one attempt goes there.
     assert not commands_of(StartAttempt, rig.feed(RequestArrived("b", "look", 5000.0, expected_ms=100.0)))
     later = [
         commands_of(StartAttempt, rig.feed(TimerFired(rig.router.timers.token), after=50.0))
@@ -31,7 +31,7 @@
     assert any(later) or rig.answer["b"] == Reject.__name__
 
 
-def test_an_unprocessable_request_fails_at_once_and_ejects_nobody():
+def test_unprocessable_request_fails_at_once_without_ejection():
     rig = RouterRig()
     for number in range(8):
         (sent,) = commands_of(StartAttempt, rig.feed(RequestArrived(str(number), "look", 4000.0)))
@@ -45,20 +45,20 @@
     assert not rig.router.lifecycle.requests
 
 
-def test_a_lost_zone_costs_few_requests_and_does_not_overload_the_rest():
-    # Guards against forty dispatchers that each go on trying the lost endpoints, and that all move to the
-    # same few others.
-    gone = {f"w{k}" for k in range(0, 60, 3)}
+def test_zone_outage_costs_few_requests_and_does_not_overload_other_zones():
+    # Guards against forty dispatchers that each keep trying the lost endpoints, or that all move to the same
+    # few other endpoints.
+    lost_endpoints = {f"w{k}" for k in range(0, 60, 3)}
     lost, completed = 0, dict.fromkeys([f"w{k}" for k in range(60) if k % 3], 0)
     for dispatcher in range(40):
         rig = large_fleet(dispatcher)
         for number in range(60):
             request_id = f"a{number}"
-            # No two requests of the same size: they go to all size classes.
+            # All requests differ in size, so that they go to all size classes.
             work_ms = 40.0 + 10.0 * ((7 * number + dispatcher) % 60)
             arrived = RequestArrived(request_id, "look", 5000.0, expected_ms=work_ms)
             sent = commands_of(StartAttempt, rig.feed(arrived, after=100.0))
-            while sent and sent[0].endpoint_id in gone:
+            while sent and sent[0].endpoint_id in lost_endpoints:
                 lost += 1
                 last = len(rig.sent[request_id]) - 1
                 failed = AttemptEnded(request_id, last, AttemptResult.CONNECT_FAILED, sent[0].endpoint_id)
@@ -73,8 +73,8 @@
     assert max(completed.values()) < 3.0 * sum(completed.values()) / len(completed)
 
 
-def test_dispatchers_do_not_try_an_ejected_endpoint_in_step():
-    # Guards against forty dispatchers that each send their trial request at the same moment.
+def test_dispatchers_retry_an_ejected_endpoint_at_different_times():
+    # Guards against forty dispatchers that send their first request after the ejection at the same time.
     trials = []
     for number in range(40):
         router = large_fleet(number).router
@@ -84,7 +84,7 @@
     assert concentration(trials, max(trials) - min(trials)) <= 0.35
 
 
-def test_an_ejection_lasts_twice_as_long_each_time_until_something_completes():
+def test_ejection_time_doubles_until_a_request_completes():
     router = RouterRig(endpoints=2).router
     endpoint, other = router.endpoints.all
     lasted, now = [], router.now
@@ -100,7 +100,7 @@
     assert endpoint.ejection_ms == 500.0
 
 
-def test_an_endpoint_that_is_ejected_already_is_not_ejected_for_longer():
+def test_ejected_endpoint_is_not_ejected_again():
     router = RouterRig(endpoints=1).router
     (endpoint,) = router.endpoints.all
     router.outliers.eject(endpoint, router.now)
@@ -113,7 +113,7 @@
     ("results", "is_ejected"),
     [("e", False), ("ee", True), ("ese", False), ("esee", True), ("esesesesese", True), ("essesse", False)],
 )
-def test_two_errors_in_a_row_or_most_of_the_recent_results_eject(results, is_ejected):
+def test_ejects_after_two_errors_in_a_row_or_mostly_errors(results, is_ejected):
     router = RouterRig(endpoints=1).router
     (endpoint,) = router.endpoints.all
     for result in results:
--- a/tests/routing/test_ownership.py
+++ b/tests/routing/test_ownership.py
@@ -13,7 +13,7 @@
 CLASS = "Endpoint"
 MODULE = "endpoints.py"
 
-# What an endpoint is, given when it is made and never assigned afterwards.
+# Fields that are set on construction and never assigned afterwards.
 CONSTANT = {"index", "endpoint_id", "id_hash", "short_id", "rank", "fleet_rank"}
 OWNERS = {
     "zone": "endpoints.py",
@@ -50,19 +50,19 @@
 }
 # Assignments elsewhere, as (module, field), each with its reason.
 EXCEPTIONS = {
-    ("weights.py", "rejections"): "a control period counts rejections anew",
-    ("warm_state.py", "other_slots"): "what the parent process holds counts as held by another",
+    ("weights.py", "rejections"): "each control period resets the count",
+    ("warm_state.py", "other_slots"): "slots held by the parent process count as held by another dispatcher",
 }
-# `Endpoint.reset` forgets what was learned, whoever owns it, as another process has started in its place.
+# `Endpoint.reset` clears the learned fields of all owners, because the endpoint is new or has restarted.
 RESET = "reset"
-# The one module that may assign attributes by name: it imports what another process exported.
+# The only module that may use `setattr`: it imports the state that another process exported.
 BY_NAME = {"warm_state.py"}
-# Variables of other classes that have fields of the same names.
+# Variables that hold objects of other classes with fields of the same names.
 OTHER_CLASSES = {"attempt", "request"}
 
 
 class Assignment(NamedTuple):
-    """One assignment to a field; `function` is the method or function that it stands in."""
+    """One assignment to a field; `function` is the enclosing method or function."""
 
     module: str
     class_name: str
@@ -87,8 +87,8 @@
         yield from _assignments(module, child, class_name, function)
 
 
-def is_of_an_endpoint(assignment: Assignment) -> bool:
-    """Whether the variable is an endpoint, and not another object with a field of the same name."""
+def is_endpoint_field(assignment: Assignment) -> bool:
+    """Whether the variable is an endpoint, not another object with a field of the same name."""
     if assignment.variable == "self":
         return assignment.class_name == CLASS
     return assignment.variable not in OTHER_CLASSES
@@ -102,11 +102,11 @@
 
 
 def assigned_by() -> dict[str, set[str]]:
-    """The modules that assign each field, without `reset`."""
+    """The modules that assign each field, apart from `Endpoint.reset`."""
     found = {field: set() for field in endpoint_fields()}
     for path in sorted(FOLDER.rglob("*.py")):
         for each in assignments_in(path.name, path.read_text(), set(found)):
-            if is_of_an_endpoint(each) and (each.class_name, each.function) != (CLASS, RESET):
+            if is_endpoint_field(each) and (each.class_name, each.function) != (CLASS, RESET):
                 found[each.field].add(each.module)
     return found
 
@@ -121,12 +121,12 @@
         assert modules - allowed == ({OWNERS[field]} if field in OWNERS else set()), field
 
 
-def test_no_exception_outlives_its_reason():
+def test_every_listed_exception_is_still_needed():
     found = assigned_by()
     assert all(module in found[field] for module, field in EXCEPTIONS)
 
 
-def test_attributes_are_assigned_by_name_in_one_module_only():
+def test_setattr_is_used_in_warm_state_only():
     named = set()
     for path in FOLDER.rglob("*.py"):
         for node in ast.walk(ast.parse(path.read_text())):
@@ -149,7 +149,7 @@
         ("rate = endpoint.rate", False),
     ],
 )
-def test_an_assignment_is_found_in_each_of_its_forms(line, is_found):
+def test_assignments_are_found_in_every_form(line, is_found):
     source = f"class Part:\n    def method(self):\n        {line}\n"
-    found = [each for each in assignments_in("part.py", source, {"rate"}) if is_of_an_endpoint(each)]
+    found = [each for each in assignments_in("part.py", source, {"rate"}) if is_endpoint_field(each)]
     assert bool(found) is is_found
--- a/tests/routing/test_rendezvous.py
+++ b/tests/routing/test_rendezvous.py
@@ -1,4 +1,4 @@
-"""The head of a key's order is the same as weighing every endpoint anew, through any changes."""
+"""The incrementally updated head of a key's order equals the head computed from all endpoints."""
 
 from math import log
 from random import Random
@@ -10,7 +10,7 @@
 
 
 def whole_order(key, ready, hashes, capacities):
-    """All ready endpoints in the key's order, by the definition."""
+    """All ready endpoints in the key's order, computed by its definition."""
     own = fnv1a_64(key)
     return sorted(
         [(-log(unit_fraction(own ^ hashes[index]) + 1e-12) / capacities[index], index) for index in ready]
@@ -19,20 +19,20 @@
 
 @pytest.mark.parametrize("sizes", [(1.0,), (0.5, 1.0, 4.0), (1.0, 1.0, 1.0, 5000.0)])
 @pytest.mark.parametrize("count", [1, 7, 40, 1500])
-@pytest.mark.parametrize("least", [2, 64, 900])
-def test_the_head_is_that_of_the_whole_order(sizes, count, least):
+@pytest.mark.parametrize("min_count", [2, 64, 900])
+def test_head_equals_the_start_of_the_whole_order(sizes, count, min_count):
     random = Random(count)
     hashes = [fnv1a_64(f"w{index}") for index in range(count)]
     capacities = [random.choice(sizes) for _ in range(count)]
-    least = min(least, count)
+    min_count = min(min_count, count)
     for key in ("a", "b", "another key"):
         order = KeyOrder(key)
-        order.build(least, range(count), hashes, capacities)
+        order.build(min_count, range(count), hashes, capacities)
         whole = whole_order(key, range(count), hashes, capacities)
-        assert order.entries == whole[: len(order.entries)] and len(order.entries) >= least
+        assert order.entries == whole[: len(order.entries)] and len(order.entries) >= min_count
 
 
-def test_changes_leave_it_as_if_built_anew():
+def test_applied_changes_give_the_same_order_as_a_rebuild():
     random = Random(5)
     hashes = [fnv1a_64(f"w{index}") for index in range(900)]
     capacities = [random.choice((0.5, 1.0, 2.0)) for _ in hashes]
@@ -49,11 +49,11 @@
                 ready ^= {index}
         order.apply_changes(changed, hashes, capacities, {index: index in ready for index in changed})
         whole = whole_order("key", ready, hashes, capacities)
-        assert order.entries == [place for place in whole if place[0] <= order.bound]
+        assert order.entries == [entry for entry in whole if entry[0] <= order.bound]
     assert len(order.entries) > 40
 
 
-def test_a_trimmed_order_keeps_its_head_and_takes_changes_in():
+def test_trimmed_order_keeps_its_head_and_applies_changes():
     hashes, capacities = [fnv1a_64(f"w{index}") for index in range(500)], [1.0] * 500
     order = KeyOrder("key")
     order.build(300, range(500), hashes, capacities)
--- a/tests/routing/test_request.py
+++ b/tests/routing/test_request.py
@@ -1,4 +1,4 @@
-"""Requests, their life as a state machine, and request classes."""
+"""Requests, their state machine, and request classes."""
 
 import pytest
 
@@ -8,20 +8,20 @@
 from dunepulley.routing.settings import Idempotency, RequestClassSettings
 
 DISPATCHING, QUEUED, IN_FLIGHT, RESPONDING, ANSWERED = RequestState
-# What may follow each state.
+# The allowed transitions.
 ALLOWED = {
     DISPATCHING: {QUEUED, IN_FLIGHT, RESPONDING, ANSWERED},
     QUEUED: {DISPATCHING},
-    # It is hedged, waits for a slot to be retried, or ends.
+    # The request is hedged, queued for a retry, or answered.
     IN_FLIGHT: {IN_FLIGHT, QUEUED, RESPONDING, ANSWERED},
     RESPONDING: {ANSWERED},
-    # Its client may leave after the answer.
+    # The client may disconnect after the response.
     ANSWERED: {ANSWERED},
 }
 
 
 def new_request():
-    """A request that has come in."""
+    """A new request."""
     return Request(
         "a",
         RequestClass(RequestClassSettings()),
@@ -44,7 +44,7 @@
     return request
 
 
-def test_a_request_begins_with_the_choice_of_an_endpoint():
+def test_new_request_is_dispatching():
     request = new_request()
     assert request.state is DISPATCHING and not request.is_answered
     assert request.attempts == [] and request.attempts_in_flight == request.generation == 0
@@ -52,7 +52,7 @@
 
 @pytest.mark.parametrize("after", RequestState)
 @pytest.mark.parametrize("before", RequestState)
-def test_only_these_states_follow_each_other(before, after):
+def test_only_allowed_state_transitions_succeed(before, after):
     request = request_in(before)
     if after in ALLOWED[before]:
         request.move_to(after)
@@ -64,18 +64,18 @@
 
 
 @pytest.mark.parametrize("state", RequestState)
-def test_nothing_is_owed_once_the_answer_has_begun(state):
+def test_request_is_answered_once_its_response_has_begun(state):
     assert request_in(state).is_answered == (state in (RESPONDING, ANSWERED))
 
 
-def test_attempts_are_unfinished_until_they_have_a_result():
+def test_unfinished_attempts_have_no_result():
     request, endpoint = request_in(IN_FLIGHT), EndpointTable("").add("w0", 0.0)
     request.attempts = [Attempt(endpoint, ("", False), float(number), True) for number in range(3)]
     request.attempts[1].result = AttemptResult.ERRORED
     assert request.unfinished_attempts() == [request.attempts[0], request.attempts[2]]
 
 
-def test_the_mean_running_time_starts_at_an_eighth_of_the_deadline():
+def test_initial_mean_running_time_is_an_eighth_of_the_deadline():
     request_class = RequestClass(RequestClassSettings(deadline_ms=4000.0))
     assert request_class.mean_run_ms() == 500.0
     request_class.record_run(100.0)
@@ -85,7 +85,7 @@
     assert request_class.mean_run_ms() == pytest.approx(100.0, abs=0.1)
 
 
-def test_a_class_that_is_not_listed_must_never_run_twice():
+def test_unlisted_class_is_non_idempotent():
     classes = RequestClasses({"look": RequestClassSettings(idempotency=Idempotency.IDEMPOTENT)})
     assert classes.get("look").settings.idempotency == Idempotency.IDEMPOTENT
     unlisted = classes.get("other")
@@ -93,7 +93,7 @@
     assert unlisted.settings.idempotency == Idempotency.NON_IDEMPOTENT
 
 
-def test_the_mean_work_of_all_requests_follows_the_recent_ones():
+def test_mean_work_follows_recent_requests():
     classes = RequestClasses({})
     assert classes.mean_slot_ms == 500.0 and classes.shortest_deadline_ms() == 1000.0
     classes.record_work(600.0)
--- a/tests/routing/test_request_queue.py
+++ b/tests/routing/test_request_queue.py
@@ -1,7 +1,7 @@
-"""Queued requests: in which order they are served, and when."""
+"""Queued requests: when and in which order they are served."""
 
 import pytest
-from routing_support import large_fleet, served, set_other_slots
+from routing_support import large_fleet, serve_request, set_other_slots
 from support.router_rig import RouterRig, commands_of, endpoint_entry
 
 from dunepulley.routing.commands import StartAttempt
@@ -12,25 +12,25 @@
     ("tenants", "first"),
     [(["a"] * 13 + ["a", "b"], "b"), (["a", "b"] * 7, "a"), (["a"] * 13 + ["a", "?"], "?")],
 )
-def test_a_tenant_over_quota_is_served_last(tenants, first):
+def test_tenant_over_quota_is_served_last(tenants, first):
     parties = {"parties__count": 2.0, "parties__0__name": "a", "parties__1__name": "b", "overagePayoff": 0.1}
     rig = RouterRig(endpoints=0, parties__0__share=0.5, parties__1__share=0.5, **parties)
     for number, tenant in enumerate(tenants):
         rig.feed(RequestArrived(f"{number}-{tenant}", "look", 5000.0, tenant=tenant, expected_ms=100.0))
-    # Guards against a flood of one tenant: queued requests within their quota are served first.
+    # Guards against a flood of requests by one tenant: queued requests within their quota are served first.
     rig.router.queue.waiting = rig.router.queue.waiting[-2:]
     sent = commands_of(StartAttempt, rig.feed(EndpointListUpdate(ListUpdateKind.FULL, (endpoint_entry(0),))))
     assert sent[0].request_id.endswith(first)
 
 
-def test_a_queued_request_is_served_when_the_size_classes_have_gone_meanwhile():
-    # Guards against a burst that ends the size classes: a request queued for one of the pools would have
-    # no endpoint left to go to.
+def test_queued_request_is_served_after_size_classes_are_turned_off():
+    # Guards against a burst that turns size classes off: a request queued for one of the pools would have no
+    # endpoint to go to.
     rig = large_fleet()
     for number in range(30):
-        served(rig, f"a{number}", 300.0)
+        serve_request(rig, f"a{number}", 300.0)
     set_other_slots(rig, 9.0)
-    assert served(rig, "queued", 300.0) is None
+    assert serve_request(rig, "queued", 300.0) is None
     rig.router.subset.arrivals_per_endpoint_s = 2.0
     rig.router.list_updates.choose_subset(rig.now)
     set_other_slots(rig, 0.0)
--- a/tests/routing/test_retries.py
+++ b/tests/routing/test_retries.py
@@ -1,4 +1,4 @@
-"""What may be attempted again, when, and what it costs."""
+"""Retries: when they are allowed, where they may go, and what they cost."""
 
 import pytest
 from support.router_rig import RouterRig, commands_of
@@ -17,7 +17,7 @@
         (AttemptResult.ERRORED, 0, False),
     ],
 )
-def test_a_broken_attempt_is_replaced_once_without_retry_budget(result, retries, is_ejected):
+def test_broken_attempt_is_retried_once_without_budget(result, retries, is_ejected):
     rig = RouterRig()
     (sent,) = commands_of(StartAttempt, rig.feed(RequestArrived("a", "store", 4000.0)))
     rig.router.retry_budget.balance = 0.0
@@ -31,8 +31,9 @@
 
 @pytest.mark.parametrize("hedges", [True, False])
 @pytest.mark.parametrize(("request_class", "answer"), [("look", Reject), ("store", Fail)])
-def test_without_hedging_nothing_is_sent_beside_an_attempt_that_may_run(hedges, request_class, answer):
-    # An endpoint that did not confirm the cancellation may still run it: answered at once, not queued.
+def test_no_retry_beside_a_possibly_running_attempt_without_hedging(hedges, request_class, answer):
+    # An endpoint that did not confirm the cancellation may still run it: without hedging the request is
+    # answered at once, not queued.
     rig = RouterRig(policyLimits__secondCopies=hedges)
     (sent,) = commands_of(StartAttempt, rig.feed(RequestArrived("a", request_class, 4000.0)))
     commands = rig.feed(
@@ -49,41 +50,42 @@
     [
         # Up to the deadline.
         ("look", AttemptResult.CONNECTION_LOST, 3900.0),
-        # Nine tenths of the window of 3000 ms, of which 100 ms are gone.
+        # Nine tenths of the window of 3000 ms, of which 100 ms have passed.
         ("store", AttemptResult.CONNECTION_LOST, 2600.0),
         ("store", AttemptResult.STALE_CONNECTION, 2600.0),
         ("store", AttemptResult.NOT_SENT, 3900.0),
         ("pay", AttemptResult.NOT_SENT, 3900.0),
     ],
 )
-def test_a_retry_starts_within_the_idempotency_window_or_never(request_class, first, start_within_ms):
-    # Guards against a late connection that carries a retry beyond what an endpoint remembers.
+def test_retry_starts_within_the_idempotency_window_or_never(request_class, first, start_within_ms):
+    # Guards against a connection that is established late and delivers a retry after the idempotency window.
     rig = RouterRig()
     (sent,) = commands_of(StartAttempt, rig.feed(RequestArrived("a", request_class, 4000.0)))
     assert sent.start_within_ms == 4000.0
-    (again,) = commands_of(
+    (retry,) = commands_of(
         StartAttempt, rig.feed(AttemptEnded("a", 0, first, sent.endpoint_id, 1.0), after=100.0)
     )
-    assert again.start_within_ms == pytest.approx(start_within_ms)
+    assert retry.start_within_ms == pytest.approx(start_within_ms)
 
 
-@pytest.mark.parametrize(("probing", "part"), [(True, 0.05), (False, 0.5)])
+@pytest.mark.parametrize(("probing", "earned"), [(True, 0.05), (False, 0.5)])
 @pytest.mark.parametrize("hedges", [True, False])
-def test_a_request_earns_less_retry_budget_where_health_checks_are_allowed(probing, hedges, part):
-    # Guards against cancelling a quarter of all attempts: an endpoint that does not stop runs each twice.
+def test_requests_earn_less_retry_budget_if_health_checks_are_allowed(probing, hedges, earned):
+    # Guards against cancelling a quarter of all attempts: where endpoints do not stop, each of them runs
+    # twice.
     rig = RouterRig(policyLimits__probing=probing, policyLimits__secondCopies=hedges)
     rig.router.retry_budget.balance = 0.0
     rig.feed(RequestArrived("a", "look", 5000.0))
-    assert rig.router.retry_budget.balance == pytest.approx(part * 0.5)
+    assert rig.router.retry_budget.balance == pytest.approx(earned * 0.5)
 
 
 def in_flight_request(rig, request_id="a", expected_ms=100.0):
-    """A request whose first attempt is out."""
+    """A request whose first attempt is in flight."""
     rig.feed(RequestArrived(request_id, "look", 4000.0, expected_ms=expected_ms))
     return rig.router.lifecycle.requests[request_id]
 
 
-def test_a_retry_costs_its_work_against_that_of_a_mean_request():
+def test_retry_cost_is_relative_to_a_mean_request():
     rig = RouterRig()
     budget, request = rig.router.retry_budget, in_flight_request(rig)
     rig.router.classes.mean_slot_ms = 200.0
@@ -93,7 +95,7 @@
     assert budget.balance == 0.0 and not budget.can_afford(request)
 
 
-def test_the_budget_holds_twenty_retries_at_most():
+def test_retry_budget_holds_at_most_twenty_retries():
     rig = RouterRig()
     budget = rig.router.retry_budget
     assert budget.balance == 1.0
@@ -102,10 +104,10 @@
     assert budget.balance == 20.0
 
 
-def test_retries_that_do_not_help_earn_less():
+def test_failed_retries_lower_the_success_rate():
     rig = RouterRig()
     budget, request = rig.router.retry_budget, in_flight_request(rig)
-    # A request that was not retried says nothing.
+    # A request that was not retried does not count.
     budget.record_outcome(request, completed=False)
     assert budget.success_rate == 0.5
     request.attempts.append(request.attempts[0])
@@ -115,7 +117,7 @@
     assert budget.success_rate == pytest.approx(0.505)
 
 
-def test_the_number_of_attempts_is_limited_whatever_the_budget_holds():
+def test_number_of_attempts_is_limited_regardless_of_budget():
     rig = RouterRig(policyLimits__mostHandOffs=1.0)
     budget, request = rig.router.retry_budget, in_flight_request(rig)
     budget.balance = 20.0
@@ -126,7 +128,7 @@
     ("scope", "allowed"),
     [("cell", {"w0", "w2"}), ("zone", {"w0", "w1", "w2", "w3"}), ("all", {"w0", "w1", "w2", "w3"})],
 )
-def test_a_request_with_a_key_is_retried_within_the_scope_of_the_key(scope, allowed):
+def test_keyed_request_is_retried_within_the_scope_of_its_key(scope, allowed):
     rig = RouterRig(categories__1__keyScope=scope, endpoints=4)
     rig.feed(RequestArrived("a", "store", 4000.0))
     request = rig.router.lifecycle.requests["a"]
--- a/tests/routing/test_round_robin.py
+++ b/tests/routing/test_round_robin.py
@@ -1,4 +1,4 @@
-"""Weighted turns are evenly spread."""
+"""Weighted round robin: turns are evenly spread."""
 
 import pytest
 from routing_support import report
@@ -28,14 +28,14 @@
 
 
 def rotation_of(*shares):
-    """A rotation with one endpoint for each of these shares, all at its beginning."""
+    """A rotation with one endpoint for each of these shares, all with their turn at 0."""
     table, rotation = EndpointTable(""), WeightedRoundRobin()
     for number, share in enumerate(shares):
         rotation.join(table.add(f"w{number}", 0.0), share, 0.0)
     return rotation, table.all
 
 
-def test_turns_come_as_often_as_the_shares_say_and_evenly_spread():
+def test_turns_are_proportional_to_shares_and_evenly_spread():
     rotation, endpoints = rotation_of(0.5, 0.25, 0.25)
     turns = []
     for _ in range(40):
@@ -43,11 +43,11 @@
         rotation.take_turn(first, endpoints)
         turns.append(first.index)
     assert [turns.count(index) for index in range(3)] == [20, 10, 10]
-    # Smooth: in any four turns in a row the heavy one has two.
+    # Evenly spread: of any four turns in a row, the endpoint with share 0.5 has two.
     assert all(turns[start : start + 4].count(0) == 2 for start in range(0, 40, 4))
 
 
-def test_endpoints_that_are_passed_over_lose_their_turn():
+def test_skipped_endpoints_lose_their_turn():
     rotation, (first, second) = rotation_of(0.5, 0.5)
     second.next_turn = 1.0
     rotation.take_turn(second, [first, second])
@@ -66,20 +66,20 @@
 @pytest.mark.parametrize(
     ("turn", "share", "moved"),
     [
-        (4.0, 0.5, 2.0),  # twice the share: half the way that is left
+        (4.0, 0.5, 2.0),  # twice the share: half the distance
         (4.0, 0.125, 8.0),
-        (30.0, 0.5, 2.0),  # no further than a whole round
-        (-7.0, 0.5, 0.0),  # an overdue turn comes at once
+        (30.0, 0.5, 2.0),  # at most one whole round
+        (-7.0, 0.5, 0.0),  # an overdue turn is next
     ],
 )
-def test_another_share_moves_the_next_turn_only_as_far_as_the_share_moves(turn, share, moved):
+def test_new_share_moves_the_next_turn_in_proportion(turn, share, moved):
     rotation, (endpoint,) = rotation_of(0.25)
     endpoint.next_turn = turn
     rotation.rescale(endpoint, share, 0.0)
     assert (endpoint.next_turn, endpoint.share) == (moved, share)
 
 
-def test_a_share_of_nothing_still_has_turns():
+def test_zero_share_still_has_turns():
     rotation, (first, second) = rotation_of(1.0, 1.0)
     first.share = second.share = 0.0
     second.next_turn = 1.0
--- a/tests/routing/test_router.py
+++ b/tests/routing/test_router.py
@@ -1,4 +1,4 @@
-"""The whole router against the rules that the helper's oracle checks."""
+"""The whole router under random events; `RouterRig` checks every command against the routing rules."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class RandomEvents:
-    """Seeded events that are odd but legal: clients, endpoints and discovery around one router."""
+    """Seeded, unusual but valid events: clients, endpoints and discovery around one router."""
 
     def __init__(self, seed: int) -> None:
         self.random = RandomGenerator(seed)
@@ -41,7 +41,7 @@
         if self.is_large:
             settings |= {"balancers": 400.0, "me": float(seed), "policyLimits__connIdleMs": 10000.0}
         self.rig = RouterRig(300 if self.is_large else 6, seed, **settings)
-        # The endpoint of each open attempt, by request and attempt number.
+        # The endpoint of each attempt in flight, by request and attempt number.
         self.open: dict[tuple[str, int], str] = {}
 
     def below(self, limit: int) -> int:
@@ -49,7 +49,7 @@
         return int(self.random.random() * limit)
 
     def step(self, number: int) -> None:
-        """Feed what happens next; in two of a hundred steps after so long that all attempts time out."""
+        """Feed the next events; in two of a hundred steps after `LONG_MS`, with all attempts timed out."""
         events = self.next_events(number)
         is_long = self.random.random() < 0.02
         if is_long:
@@ -64,7 +64,7 @@
             self.open = {key: self.open[key] for key in self.open if not self.result_of(*key)}
 
     def result_of(self, request_id: str, attempt_number: int) -> str:
-        """How an attempt ended; empty while it is open."""
+        """The result of an attempt; empty while it is in flight."""
         return self.rig.sent[request_id][attempt_number][2]
 
     def next_events(self, number: int) -> list[object]:
@@ -85,16 +85,16 @@
         request_id, attempt_number = sorted(self.open)[self.below(len(self.open))]
         result = RESULTS[self.below(len(RESULTS))]
         answered = result == AttemptResult.COMPLETED or request_id in self.rig.answer
-        rate, free, queue = [self.random.random() * size for size in (1e4, 9.0, 40.0)]
+        rate, available, queue = [self.random.random() * size for size in (1e4, 9.0, 40.0)]
         endpoint = self.open.pop((request_id, attempt_number))
-        load_report = report(rate - 1.0, free - 1.0, queue)
+        load_report = report(rate - 1.0, available - 1.0, queue)
         return AttemptEnded(request_id, attempt_number, result, endpoint, 9.0, answered, load_report)
 
     def list_updates(self) -> list[EndpointListUpdate]:
         number = self.below(400 if self.is_large else 8)
         updates = []
         if self.is_large and self.random.random() < 0.1:
-            # More than a hundred endpoints gone at once, and back, some of them warming up.
+            # 150 endpoints are removed or return at once, some of them warming up.
             state = EndpointState.REMOVED if self.random.random() < 0.5 else EndpointState.READY
             many = tuple([endpoint_entry(n, state, self.rig.now * (n % 2)) for n in range(150)])
             updates.append(EndpointListUpdate(ListUpdateKind.CHANGES, many))
@@ -106,7 +106,7 @@
         return updates
 
     def lose_all(self) -> None:
-        """Lose the connection of every open attempt, then let all deadlines pass."""
+        """Lose the connection of every attempt in flight, then let all deadlines pass."""
         for request_id, attempts in sorted(self.rig.sent.items()):
             for number, (endpoint, _, result) in enumerate(attempts):
                 if not result:
@@ -117,13 +117,13 @@
 
 
 @pytest.mark.parametrize("seed", range(12))
-def test_odd_but_legal_events_keep_the_rules(seed):
-    """A seeded run of scripted events; the oracle in the helper checks every command."""
+def test_unusual_but_valid_events_break_no_rule(seed):
+    """A seeded run; `RouterRig` checks every command."""
     events = RandomEvents(seed)
     for number in range(500):
         events.step(number)
     for _ in range(8):
         events.lose_all()
     rig = events.rig
-    assert set(rig.arrived) == set(rig.answer), "every request has its one answer"
+    assert set(rig.arrived) == set(rig.answer), "a request has no final response"
     assert not rig.router.lifecycle.requests and not rig.router.queue.waiting
--- a/tests/routing/test_rules.py
+++ b/tests/routing/test_rules.py
@@ -1,4 +1,4 @@
-"""The four rules: no harmful retry, drains, one answer, and no hedging where it is not allowed."""
+"""The four rules: safe retries only, nothing to draining endpoints, one final response, allowed hedging."""
 
 import pytest
 from routing_support import endpoints_of
@@ -30,24 +30,24 @@
         ("pay", AttemptResult.CONNECT_FAILED, True, Reject),
     ],
 )
-def test_a_retry_only_where_it_is_harmless(request_class, result, is_retried, answer):
+def test_retries_only_if_the_effect_cannot_happen_twice(request_class, result, is_retried, answer):
     rig = RouterRig(endpoints=8)
     first = commands_of(StartAttempt, rig.feed(RequestArrived("a", request_class, 5000.0)))[0]
     commands = rig.feed(AttemptEnded("a", 0, result, first.endpoint_id), after=50.0)
     assert bool(commands_of(StartAttempt, commands)) == is_retried
     if not is_retried:
         assert commands_of(answer, commands)
-    # All further attempts end alike, until there is exactly one answer.
+    # All further attempts end with the same result, until there is exactly one final response.
     for number in range(1, 6):
         if "a" in rig.answer:
             break
-        assert len(rig.sent["a"]) > number, "neither attempted nor answered"
+        assert len(rig.sent["a"]) > number, "the request was neither attempted again nor answered"
         commands = rig.feed(AttemptEnded("a", number, result, rig.sent["a"][number][0]), after=50.0)
     assert rig.answer["a"] == answer.__name__
 
 
 @pytest.mark.parametrize("state", [EndpointState.DRAINING, EndpointState.REMOVED])
-def test_nothing_goes_to_an_endpoint_that_drains(state):
+def test_draining_endpoint_receives_no_attempts(state):
     rig = RouterRig(endpoints=2)
     rig.feed(EndpointListUpdate(ListUpdateKind.CHANGES, (endpoint_entry(0, state),)))
     sent = []
@@ -57,11 +57,11 @@
 
 
 @pytest.mark.parametrize("result", [AttemptResult.COMPLETED, AttemptResult.TIMED_OUT, AttemptResult.ERRORED])
-def test_news_after_the_end_changes_nothing(result):
+def test_events_after_the_final_response_are_ignored(result):
     rig = RouterRig()
     first = commands_of(StartAttempt, rig.feed(RequestArrived("a", "look", 5000.0)))[0]
     rig.feed(ClientDisconnected("a"))
-    rig.answer["a"] = "withdrawn"
+    rig.answer["a"] = "disconnected"
     ended = AttemptEnded("a", 0, result, first.endpoint_id, answered=True)
     assert not commands_of(StartAttempt, rig.feed(ended, after=10.0))
     assert not rig.feed(ClientDisconnected("a"), AttemptEnded("a", 0, result, first.endpoint_id))
@@ -71,7 +71,7 @@
 @pytest.mark.parametrize(
     ("after", "is_retried"), [(100.0, True), (2600.0, True), (2900.0, False), (4000.0, False)]
 )
-def test_a_request_with_a_key_is_retried_only_within_its_window(after, is_retried):
+def test_keyed_request_is_retried_only_within_its_window(after, is_retried):
     rig = RouterRig(endpoints=8, categories__1__dueTimeMs=4900.0, familyInfo__tellsStart=False)
     first = commands_of(StartAttempt, rig.feed(RequestArrived("a", "store", 5000.0, expected_ms=100.0)))[0]
     commands = rig.feed(AttemptEnded("a", 0, AttemptResult.ERRORED, first.endpoint_id), after=after)
@@ -89,7 +89,7 @@
         ({"policyLimits__mostHandOffs": 1.0}, False),
     ],
 )
-def test_a_request_is_hedged_only_where_that_is_allowed(settings, is_allowed):
+def test_request_is_hedged_only_if_allowed(settings, is_allowed):
     rig = RouterRig(endpoints=4, **settings)
     rig.feed(RequestArrived("a", "look", 5000.0))
     request = rig.router.lifecycle.requests["a"]
--- a/tests/routing/test_scale_decisions.py
+++ b/tests/routing/test_scale_decisions.py
@@ -1,15 +1,15 @@
-"""What the routing package costs at 16 times the endpoints, counted in steps of the interpreter.
+"""The cost of the routing package at 16 times as many endpoints, in interpreter steps.
 
-Steps are the same every time, unlike CPU time on a busy machine; `python -m bench.scale_decisions` measures
-that. A step is taken for 10 ns, as measured in the loops over all endpoints (8 to 11 ns); what the steps of
-the usual size take, mostly calls, is longer, so the terms here are the stricter ones.
+Steps are reproducible, unlike CPU time on a busy machine, which `python -m bench.scale_decisions` measures. A
+step counts as 10 ns, the time in loops over all endpoints (8 to 11 ns). At the usual size most steps are
+calls, which take longer, so the limits here are stricter than those on CPU time.
 """
 
 import io
 from dataclasses import replace
 
 import pytest
-from operations import Counted
+from operations import CountedDispatcher
 
 from bench import scale_decisions as scale
 from bench.decision_trace import Fleet
@@ -20,15 +20,17 @@
 
 
 def steps(day, endpoints):
-    """The steps of each call of a day, without the first list."""
-    fleet = Fleet(scale.at_size(day, endpoints), lambda *arguments: Counted(router.Router(*arguments)))
+    """The steps of each call in a scenario, without the first endpoint list."""
+    fleet = Fleet(
+        scale.at_size(day, endpoints), lambda *arguments: CountedDispatcher(router.Router(*arguments))
+    )
     for _ in fleet.batches():
         pass
     return fleet.dispatcher.calls[1:]
 
 
 @pytest.mark.parametrize("day", scale.DAYS, ids=lambda day: day.name)
-def test_steps_at_many_endpoints_stay_within_the_terms(day):
+def test_steps_at_many_endpoints_stay_within_the_limits(day):
     day = replace(day, length_s=LENGTH_S)
     usual, large = steps(day, scale.USUAL), steps(day, scale.LARGE)
     added_s = scale.CPU_S + scale.CPU_THOUSAND_S * scale.LARGE / 1000.0
@@ -38,7 +40,7 @@
 
 
 @pytest.mark.parametrize(("cpu", "code"), [((1.0, 1.5), 0), ((1.0, 2.0), 1)])
-def test_the_table_shows_what_is_beyond_its_limit(monkeypatch, cpu, code):
+def test_table_marks_exceeded_limits(monkeypatch, cpu, code):
     costs = iter([scale.Cost(each, 1.0) for each in cpu])
     monkeypatch.setattr(scale, "cost", lambda *_: next(costs))
     monkeypatch.setattr(scale, "memory_mb", lambda *_: 1.0)
