--- a/dunepulley/agent/agent.py
+++ b/dunepulley/agent/agent.py
@@ -1,7 +1,7 @@
-"""The agent of a host: puts its parts together, starts them and ends them.
+"""The agent of a host: creates its parts, starts them and stops them.
 
-The agent keeps the drains that operators set, has every dispatcher of the host apply them, and restarts
-dispatchers on command. Dispatchers go on without an agent, with the drains that they have.
+The agent stores the drains that operators set, has every dispatcher of the host apply them, and restarts
+dispatchers on command. Without an agent, dispatchers keep running with the drains that they have.
 """
 
 from __future__ import annotations
@@ -27,10 +27,12 @@
 
 
 class Agent:
-    """All parts of one agent; `handlers` are its commands by their names on the wire."""
+    """All parts of one agent; `handlers` has the handler of each command by its name on the wire."""
 
-    def __init__(self, config: AgentConfig, new_votes: bool = False, clock: Clock | None = None) -> None:
-        """Read the stored state; with `new_votes` begin that of the fleet's acceptor anew.
+    def __init__(
+        self, config: AgentConfig, initialize_acceptor: bool = False, clock: Clock | None = None
+    ) -> None:
+        """Read the stored state; with `initialize_acceptor` create a new state of the fleet's acceptor.
 
         Expiries of drains are by `clock`, by default the system's. Raises `DrainFileError` and
         `AcceptorStoreError`.
@@ -50,7 +52,7 @@
         self.handlers: dict[str, Handler] = dict(commands.handlers)
         self.fleet: Fleet | None = None
         if config.fleet is not None:
-            self.fleet = Fleet(config.fleet, self.dispatchers, new_votes)
+            self.fleet = Fleet(config.fleet, self.dispatchers, initialize_acceptor)
             self.handlers |= self.fleet.handlers
         self._server = CommandServer(self.handlers, self._reply_header)
         self._tasks: list[asyncio.Task[None]] = []
@@ -62,11 +64,11 @@
 
     @property
     def port(self) -> int:
-        """The port that the agent listens at, 0 before `start`."""
+        """The port that the agent listens on, 0 before `start`."""
         return self._server.port
 
     async def start(self) -> None:
-        """Start to supervise the dispatchers and to listen.
+        """Start supervising the dispatchers, and listen for commands.
 
         Raises `DrainFileError` and `AgentConfigError`.
         """
@@ -79,7 +81,7 @@
             self.fleet.start()
 
     async def close(self) -> None:
-        """End every task and connection; the dispatchers go on with the drains that they have."""
+        """End every task and connection; the dispatchers keep running with the drains that they have."""
         self._server.stop_listening()
         if self.fleet is not None:
             await self.fleet.close()
@@ -92,13 +94,13 @@
         return {"agent": VERSION, "now": self.clock.wall_ms(), "revision": self.drains.revision}
 
 
-async def serve(config: AgentConfig, new_votes: bool = False) -> int:
+async def serve(config: AgentConfig, initialize_acceptor: bool = False) -> int:
     """Run an agent until SIGTERM or SIGINT and return the exit code. Raises as `Agent` does."""
     loop = asyncio.get_running_loop()
     stop_requested = asyncio.Event()
     for number in (signal.SIGTERM, signal.SIGINT):
         loop.add_signal_handler(number, stop_requested.set)
-    agent = Agent(config, new_votes)
+    agent = Agent(config, initialize_acceptor)
     try:
         await agent.start()
         log.write(LogEvent.AGENT, f"{len(agent.dispatchers)} dispatchers, listens at port {agent.port}")
--- a/dunepulley/agent/atomic_file.py
+++ b/dunepulley/agent/atomic_file.py
@@ -1,4 +1,4 @@
-"""Replaces a file as a whole, so that a crash at any moment leaves the former content or the new one."""
+"""Replaces a file atomically: a crash at any moment leaves either the previous content or the new one."""
 
 from __future__ import annotations
 
@@ -9,19 +9,22 @@
 
 
 class NotDurableError(StorageError):
-    """The new content is in place, but a crash of the machine may bring the former one back."""
+    """The new content is in place, but a crash of the machine may restore the previous content."""
 
 
 def temporary_path(path: str) -> str:
-    """Return where new content is written first; what a crash leaves there the next replacement removes."""
+    """Return the path to which new content is written first.
+
+    A file that a crash left there is removed by the next replacement.
+    """
     return f"{path}.new"
 
 
 def replace_file(path: str, data: bytes) -> None:
-    """Make `data` the content of a file, durably.
+    """Replace the content of a file by `data`, durably.
 
-    Raises `OSError` where the file is as it was, `NotDurableError` where it holds `data` but a crash of the
-    machine may bring the former content back. In both cases a later call writes everything to a new file:
+    Raises `OSError` if the file is unchanged, and `NotDurableError` if it contains `data` but a crash of the
+    machine may restore the previous content. After either, a later call writes everything to a new file:
     pages whose fsync has failed may be lost, and the next fsync of the same file would not report it.
     """
     temporary = temporary_path(path)
@@ -46,18 +49,18 @@
 
 
 def sync_directory(directory: str) -> None:
-    """Make the names in a directory durable; raises `OSError`."""
+    """Make the entries of a directory durable; raises `OSError`."""
     descriptor = os.open(directory, os.O_RDONLY | os.O_DIRECTORY)
     try:
         os.fsync(descriptor)
     finally:
-        # The fsync has reported all there is to know; an error of close changes nothing on the disk.
+        # The fsync has succeeded or raised already; an error of close changes nothing on the disk.
         with contextlib.suppress(OSError):
             os.close(descriptor)
 
 
 def _write_new(path: str, data: bytes) -> int:
-    """Write a file that does not exist yet to the disk and return its inode."""
+    """Create a file, write it to disk, and return its inode."""
     with open(path, "xb") as file:
         file.write(data)
         file.flush()
@@ -66,7 +69,7 @@
 
 
 def _may_be_replaced(path: str, inode: int) -> bool:
-    """Return whether a failed rename took effect all the same; true where that cannot be seen."""
+    """Return whether a rename that failed may have taken effect; True if this cannot be determined."""
     try:
         return os.stat(path).st_ino == inode
     except FileNotFoundError:
--- a/dunepulley/agent/command_request.py
+++ b/dunepulley/agent/command_request.py
@@ -1,4 +1,4 @@
-"""Typed access to an operator's command as it came over the wire."""
+"""Typed access to the message of an operator's command."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 class RequestError(RefusedError):
-    """A command cannot be carried out as it stands; the text says why in one line."""
+    """A command is invalid or cannot be carried out; the text gives the reason in one line."""
 
 
 class CommandRequest:
-    """One command. Each method reads one option; raises `RequestError` or `ProtocolError` if it is odd."""
+    """One command. Each method reads one option, and raises `RequestError` or `ProtocolError` if invalid."""
 
     def __init__(self, message: dict[str, Any]) -> None:
         """Wrap the message of `ctl`."""
@@ -31,26 +31,26 @@
         return bool(self._message.get(key))
 
     def seconds(self, key: str, default: float, maximum: float) -> float:
-        """Return a span of at most `maximum` seconds."""
+        """Return a duration in seconds, above 0 and at most `maximum`."""
         value = self._message.get(key, default)
         if not is_number(value) or not 0.0 < value <= maximum:
             raise RequestError(f"{key} is no time of at most {maximum:g} s")
         return float(value)
 
     def drain_seconds(self) -> float:
-        """Return for how many seconds a drain is to last, `INFINITY` for no end."""
+        """Return the duration of a drain in seconds, `INFINITY` for a drain that does not expire."""
         return self.seconds("for_s", _MAX_DRAIN_S, _MAX_DRAIN_S) if "for_s" in self._message else INFINITY
 
     def endpoint_id(self) -> str:
-        """Return the endpoint that is asked about."""
+        """Return the id of the endpoint to show."""
         return drain_json.parse_text(self._message.get("worker"), "name")
 
     def drain(self) -> Drain:
-        """Return the drain that is to be set, as yet without start and expiry."""
+        """Return the drain to set, without its start and expiry."""
         return drain_json.decode_drain(self._target() | {"why": self._message.get("why", "")})
 
     def drain_to_restore(self) -> Drain:
-        """Return target and operator of the drain that is to be taken back."""
+        """Return the target and the operator of the drain to remove."""
         return drain_json.decode_drain(self._target())
 
     def over_revision(self) -> int:
@@ -61,7 +61,7 @@
         return revision
 
     def select(self, dispatchers: Mapping[str, _Named]) -> list[_Named]:
-        """Return the dispatchers that the command names, or all; refused as a whole for an unknown name."""
+        """Return the dispatchers that the command names, or all. Raises `RequestError` if one is unknown."""
         names = self._message.get("names") or list(dispatchers)
         if not isinstance(names, list):
             raise RequestError("names is no list")
--- a/dunepulley/agent/ctl/__init__.py
+++ b/dunepulley/agent/ctl/__init__.py
@@ -1,4 +1,4 @@
-"""`dunepulley ctl`: sends a command of an operator to agents, and prints the answers as text or JSON."""
+"""`dunepulley ctl`: sends an operator's command to agents, and prints the answers as text or JSON."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 import orjson
 
-from dunepulley.agent.ctl.arguments import DEFAULT_AGENT, add_to, request_of
+from dunepulley.agent.ctl.arguments import DEFAULT_AGENT, add_to, build_request
 from dunepulley.agent.ctl.calls import AgentAnswer, ask_all
-from dunepulley.agent.ctl.rendering import lines_of
+from dunepulley.agent.ctl.rendering import render_lines
 from dunepulley.net.addresses import parse_address
 
-__all__ = ["DEFAULT_AGENT", "ExitCode", "add_to", "code_of", "run"]
+__all__ = ["DEFAULT_AGENT", "ExitCode", "add_to", "exit_code_of", "run"]
 
 _AGENTS_VARIABLE = "DUNEPULLEY_AGENTS"
 
 
 class ExitCode(IntEnum):
-    """What `ctl` ends with."""
+    """The exit codes of `ctl`."""
 
     DONE = 0
     REFUSED = 1
@@ -30,40 +30,40 @@
     UNREACHED = 4
 
 
-# Of several the first in this order counts.
+# With several agents, the first code in this order that any of them has is the exit code.
 _SEVERITY = (ExitCode.UNREACHED, ExitCode.REFUSED, ExitCode.UNKNOWN)
 
 
-def run(chosen: argparse.Namespace) -> int:
-    """Carry out the command of parsed arguments, print what came of it, and return the exit code."""
-    agents = chosen.agent or os.environ.get(_AGENTS_VARIABLE, DEFAULT_AGENT).split(",")
+def run(options: argparse.Namespace) -> int:
+    """Execute the command in parsed arguments, print the results, and return the exit code."""
+    agents = options.agent or os.environ.get(_AGENTS_VARIABLE, DEFAULT_AGENT).split(",")
     try:
         for agent in agents:
             parse_address(agent)
     except ValueError as error:
         print(f"dunepulley: {error}", file=sys.stderr)
         return ExitCode.UNUSABLE
-    answers = asyncio.run(ask_all(agents, request_of(chosen)))
-    code = code_of(answers)
-    if chosen.json:
+    answers = asyncio.run(ask_all(agents, build_request(options)))
+    code = exit_code_of(answers)
+    if options.json:
         messages = {agent: answer.message for agent, answer in answers.items()}
         print(orjson.dumps({"code": code, "agents": messages}, option=orjson.OPT_INDENT_2).decode())
         return code
     for agent, answer in answers.items():
-        lines = lines_of(chosen.do, answer)
+        lines = render_lines(options.do, answer)
         if len(answers) > 1:
             lines = [f"{agent}:", *[f"  {line}" for line in lines]]
         print("\n".join(lines), file=sys.stderr if answer.failure else sys.stdout)
     return code
 
 
-def code_of(answers: dict[str, AgentAnswer]) -> ExitCode:
-    """Return the exit code for what the agents answered."""
-    codes = {_code_of_one(answer) for answer in answers.values()}
+def exit_code_of(answers: dict[str, AgentAnswer]) -> ExitCode:
+    """Return the exit code for the agents' answers."""
+    codes = {_exit_code_of_agent(answer) for answer in answers.values()}
     return next((code for code in _SEVERITY if code in codes), ExitCode.DONE)
 
 
-def _code_of_one(answer: AgentAnswer) -> ExitCode:
+def _exit_code_of_agent(answer: AgentAnswer) -> ExitCode:
     states = {result.get("state") for result in answer.results}
     if answer.is_unreached:
         return ExitCode.UNREACHED
--- a/dunepulley/agent/ctl/calls.py
+++ b/dunepulley/agent/ctl/calls.py
@@ -1,4 +1,4 @@
-"""What `ctl` asks of which agents, and in what order, so that a command is carried out by all or by none."""
+"""Sends a request to the agents that it concerns, in an order that lets either all or none execute it."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 
 from dunepulley.agent import wire
 
-# Of a restart the limit is for each dispatcher.
+# The timeout of a restart is per dispatcher.
 _TIMEOUT_S, _RESTART_TIMEOUT_S = 5.0, 60.0
-# The agent's own limits come first.
+# Added to the agent's own timeouts, so that those expire first.
 _MARGIN_S = 10.0
 _CHECK_TIMEOUT_S = 15.0
 _CHECKED_FIRST = ("drain", "restore", "restart")
@@ -18,13 +18,13 @@
 
 @dataclass(frozen=True, slots=True)
 class AgentAnswer:
-    """The message of an agent, or of `ctl` itself where the agent did not answer."""
+    """The message of an agent, or one that `ctl` made because the agent did not answer."""
 
     message: dict[str, Any]
 
     @property
     def ok(self) -> bool:
-        """Whether the command was carried out everywhere."""
+        """Whether the command succeeded at all dispatchers."""
         return bool(self.message.get("ok"))
 
     @property
@@ -39,7 +39,7 @@
 
     @property
     def failure(self) -> str:
-        """Why there is no result, as a line for operators; empty where there is one."""
+        """The reason why there is no result, as a line for operators; empty if there is one."""
         if self.is_unreached or self.is_refused:
             return self.message.get("unreached") or f"refused: {self.message['refused']}"
         return ""
@@ -52,9 +52,11 @@
 
 
 async def ask_all(agents: list[str], request: dict[str, Any]) -> dict[str, AgentAnswer]:
-    """Return what each agent answers; where several are to change something, all are asked first if they may.
+    """Return the answer of each agent.
 
-    `agents` are addresses `host:port`; an agent that a command does not concern is missing in the result.
+    If several agents are to change something, all are first asked to check whether they would accept the
+    command. `agents` are addresses `host:port`; agents that the command does not concern are not in the
+    result.
     """
     timeout_s = _timeout_s(request)
     if request["do"] == "zone":
@@ -69,17 +71,17 @@
 
 
 def _timeout_s(request: dict[str, Any]) -> float:
-    """Return for how long an agent may take to answer."""
+    """Return the timeout for an agent's answer."""
     if request["do"] != "restart":
         timeout_s: float = request.get("limit_s", _TIMEOUT_S)
         return timeout_s + _MARGIN_S
     count = max(1, len(request.get("names", ())))
-    each_s: float = request.get("limit_s", _RESTART_TIMEOUT_S)
-    return each_s * count + _MARGIN_S
+    per_dispatcher_s: float = request.get("limit_s", _RESTART_TIMEOUT_S)
+    return per_dispatcher_s * count + _MARGIN_S
 
 
 async def ask(agent: str, request: dict[str, Any], timeout_s: float) -> AgentAnswer:
-    """Return what one agent answers, or that it did not answer within `timeout_s` seconds."""
+    """Return the answer of one agent, or an `unreached` one after `timeout_s` seconds without an answer."""
     try:
         return AgentAnswer(await wire.ask(agent, request, timeout_s))
     except wire.WireError as error:
@@ -94,7 +96,10 @@
 async def _ask_first_reachable(
     agents: list[str], request: dict[str, Any], timeout_s: float
 ) -> dict[str, AgentAnswer]:
-    """Ask one agent, as the fleet decides in common; if none answers, return what became of all."""
+    """Send the request to the first agent that answers, as it acts for the whole fleet.
+
+    If none answers, the result has the failures of all.
+    """
     answers: dict[str, AgentAnswer] = {}
     for agent in agents:
         answers[agent] = await ask(agent, request, timeout_s)
@@ -104,17 +109,20 @@
 
 
 async def _ask_owners(agents: list[str], request: dict[str, Any], timeout_s: float) -> dict[str, AgentAnswer]:
-    """Ask each agent for those of the named dispatchers that it has; with one unknown, nothing is done."""
-    lists = await _ask_each(agents, {"do": "list"}, _CHECK_TIMEOUT_S)
-    unreached = {agent: answer for agent, answer in lists.items() if answer.is_unreached}
+    """Send each agent the request for those of the named dispatchers that it supervises.
+
+    If a name is unknown to all agents, the request is not sent to any.
+    """
+    list_answers = await _ask_each(agents, {"do": "list"}, _CHECK_TIMEOUT_S)
+    unreached = {agent: answer for agent, answer in list_answers.items() if answer.is_unreached}
     if unreached:
         return unreached
     names_by_agent = {
         agent: [result["name"] for result in answer.results if result["name"] in request["names"]]
-        for agent, answer in lists.items()
+        for agent, answer in list_answers.items()
     }
-    known = {name for names in names_by_agent.values() for name in names}
-    unknown = [name for name in request["names"] if name not in known]
+    listed = {name for names in names_by_agent.values() for name in names}
+    unknown = [name for name in request["names"] if name not in listed]
     if unknown:
         text = f"no dispatcher is called {', '.join(unknown)}"
         return {agents[0]: AgentAnswer({"ok": False, "refused": text})}
--- a/dunepulley/agent/ctl/rendering.py
+++ b/dunepulley/agent/ctl/rendering.py
@@ -1,4 +1,4 @@
-"""The answers of agents as lines of text."""
+"""Renders the answers of agents as lines of text."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 from dunepulley.agent.ctl.calls import AgentAnswer
 
-# A larger difference of clocks makes the times that an agent shows misleading.
+# With a larger difference between the clocks, the times that an agent reports are misleading.
 _MAX_SKEW_MS = 2000.0
 _DONE = "done"
 _LIST_HEAD = "dispatcher state pid version clients current workers avoided drains"
@@ -20,16 +20,16 @@
 Rows = list[list[Any]]
 
 
-def lines_of(command: str, answer: AgentAnswer) -> list[str]:
+def render_lines(command: str, answer: AgentAnswer) -> list[str]:
     """Return an agent's answer to a command as lines."""
     if answer.failure:
-        return [clean(answer.failure)]
+        return [sanitize(answer.failure)]
     message = answer.message
     lines = _warnings(message)
     if command == "list":
-        return lines + table(_list_rows(answer.results))
+        return lines + format_table(_list_rows(answer.results))
     if command in ("show", "worker"):
-        return lines + table(_endpoint_rows(answer.results))
+        return lines + format_table(_endpoint_rows(answer.results))
     if command == "zones":
         return lines + _zones_lines(message)
     if command == "zone":
@@ -39,34 +39,34 @@
     return lines + _result_lines(command, answer)
 
 
-def clean(value: Any) -> str:
-    """Return a value as text that cannot break a line or steer a terminal."""
-    return "".join([sign if sign.isprintable() else "?" for sign in str(value)])
+def sanitize(value: Any) -> str:
+    """Return a value as text without line breaks and terminal control sequences."""
+    return "".join([character if character.isprintable() else "?" for character in str(value)])
 
 
-def table(rows: Rows) -> list[str]:
+def format_table(rows: Rows) -> list[str]:
     """Return rows as lines, each column as wide as its widest cell; None is an empty cell."""
-    texts = [[clean("" if cell is None else cell) for cell in row] for row in rows]
+    texts = [[sanitize("" if cell is None else cell) for cell in row] for row in rows]
     widths = [max([len(row[column]) for row in texts]) for column in range(len(texts[0]))]
     return ["  ".join([cell.ljust(widths[n]) for n, cell in enumerate(row)]).rstrip() for row in texts]
 
 
 def _local_time(unix_ms: float | None) -> str:
-    """Return a time for people; None is the expiry of a drain that has none."""
+    """Return a Unix time as local time; None is the expiry of a drain that lasts until it is restored."""
     if unix_ms is None:
         return "restored"
     return time.strftime("%Y-%m-%d %H:%M:%S", time.localtime(unix_ms / 1000.0))
 
 
 def _warnings(message: dict[str, Any]) -> list[str]:
-    """Return lines on a clock that differs, and on drains that may not outlast a crash."""
+    """Return warnings about a clock that differs, and about drains that may not survive a crash."""
     lines = []
     skew_ms = message.get("now", 0.0) - time.time() * 1000.0
     if abs(skew_ms) > _MAX_SKEW_MS:
         skew_s = message.get("now", 0.0) / 1000.0 - time.time()
         lines.append(f"its clock is {skew_s:+.1f} s from this one's")
     if "unwritten" in message:
-        lines.append(clean(f"in force, but {message['unwritten']}; it is written again until it lasts"))
+        lines.append(sanitize(f"in force, but {message['unwritten']}; it is written again until it lasts"))
     return lines
 
 
@@ -94,29 +94,29 @@
 
 
 def _endpoint_cells(view: dict[str, Any]) -> list[Any]:
-    """Return an endpoint as a dispatcher sees it, without the dispatcher's name."""
+    """Return the cells of an endpoint's row, without the dispatcher's name."""
     on_trial = "yes" if view.get("on trial") else ""
     drains = "; ".join(view.get("drains", []))
     return [*[view.get(key) for key in _ENDPOINT_KEYS], on_trial, view.get("out"), view.get("slots"), drains]
 
 
 def _drains_lines(message: dict[str, Any]) -> list[str]:
-    """Return the drains in force, and the record of those that have ended."""
+    """Return lines for the drains in force, and for those that have ended."""
     rows: Rows = [["drain", "revision", "by", "since", "until", "why"]]
     for drain in message.get("drains", []):
         times = [_local_time(drain["since"]), _local_time(drain["until"])]
         target = f"{drain['what']} {drain['name']}"
         rows.append([target, drain["revision"], drain["by"], *times, drain["why"]])
-    lines = table(rows) if len(rows) > 1 else ["no drain stands"]
+    lines = format_table(rows) if len(rows) > 1 else ["no drain stands"]
     for ended in message.get("ended", []):
         drain, by = ended["drain"], f" by {ended['by']}" if ended["by"] else ""
         which = f"{drain['what']} {drain['name']}, by {drain['by']}"
-        lines.append(clean(f"{_local_time(ended['at'])} {ended['how']}{by}: {which}"))
+        lines.append(sanitize(f"{_local_time(ended['at'])} {ended['how']}{by}: {which}"))
     return lines
 
 
 def _result_lines(command: str, answer: AgentAnswer) -> list[str]:
-    """Return how many dispatchers are in which state, and a line for each that needs attention."""
+    """Return a line that counts dispatchers by state, and a line for each that needs attention."""
     lines = []
     if answer.results:
         counts = Counter([result["state"] for result in answer.results])
@@ -126,26 +126,26 @@
     for result in answer.results:
         if result["state"] != _DONE or result.get("detail"):
             text = f"{result['name']}: {result['state']}: {result.get('detail', '')}"
-            lines.append(clean(text.rstrip(": ")))
+            lines.append(sanitize(text.rstrip(": ")))
     return lines
 
 
 def _zones_lines(message: dict[str, Any]) -> list[str]:
-    """Return the fleet's traffic plan, as one agent knows it."""
+    """Return lines for the fleet's traffic plan, as one agent reports it."""
     plan, confirmed_ms = message["plan"], message["confirmed"]
     confirmed = "not confirmed by a majority"
     if confirmed_ms is not None:
         confirmed = f"confirmed {confirmed_ms / 1000.0:.1f} s ago"
     made = f", by {plan['by']} at {_local_time(plan['at'])}" if plan["by"] else ""
-    lines = [clean(f"plan {plan['number']} of epoch {plan['epoch']}{made}; {confirmed}")]
+    lines = [sanitize(f"plan {plan['number']} of epoch {plan['epoch']}{made}; {confirmed}")]
     rows: Rows = [list(_ZONE_HEAD), *[_zone_row(zone) for zone in message["zones"]]]
-    lines += table(rows) if len(rows) > 1 else ["no zone is known"]
+    lines += format_table(rows) if len(rows) > 1 else ["no zone is known"]
     agents: Rows = [["agent", "stands", "votes", ""]]
     for agent in message["agents"]:
         agents.append([agent["name"], agent["stands"], "yes" if agent["votes"] else "no", agent["detail"]])
     followers: Rows = [["dispatcher", "goes by", "plan", ""]]
     followers += [[each["name"], each["how"], each["number"], each["detail"]] for each in message["follows"]]
-    return lines + table(agents) + table(followers)
+    return lines + format_table(agents) + format_table(followers)
 
 
 def _zone_row(zone: dict[str, Any]) -> list[Any]:
--- a/dunepulley/agent/dispatcher.py
+++ b/dunepulley/agent/dispatcher.py
@@ -1,4 +1,4 @@
-"""One dispatcher as its agent sees it: calls to its admin interface, and what they last returned."""
+"""An agent's client of one dispatcher: calls to its admin interface, and the results of the last ones."""
 
 from __future__ import annotations
 
@@ -16,12 +16,12 @@
 from dunepulley.control.drains import INFINITY, DrainSet
 from dunepulley.control.fleet_view import DispatcherReport
 
-# What a process says of itself once a hot restart has handed its clients to another.
+# The value of `leaving` of a process that has passed its clients to its child in a hot restart.
 _HANDED_OVER = "handed over"
 
 
 class ProcessIdentity(NamedTuple):
-    """What a dispatcher process says of itself; `leaving` is empty while it accepts clients."""
+    """The identity that a dispatcher process reports; `leaving` is empty while it accepts clients."""
 
     admin_address: str
     pid: int
@@ -40,25 +40,25 @@
 class Dispatcher:
     """A client of one dispatcher, which may be one process or, in a hot restart, two.
 
-    `process` is the one that serves, as of the last poll; where none answered it is None, and `last_error`
-    says why. `polled` is notified after each poll. `operation` names what an operator is having done with the
-    dispatcher, empty for nothing. `report` is what it last reported to the fleet; where it did not or does
-    not follow the traffic plan, `plan_error` says why.
+    `process` is the process that serves, as of the last poll; if none answered it is None, and `last_error`
+    gives the reason. `polled` is notified after each poll. `operation` names the operator's command that is
+    running on the dispatcher, empty for none. `report` is its last report about zones; if there is none, or
+    the dispatcher does not follow the traffic plan, `plan_error` gives the reason.
     """
 
     def __init__(self, config: DispatcherConfig, answer_timeout_s: float, clock: Clock) -> None:
-        """Prepare calls that each wait `answer_timeout_s` for a reply; expiries of drains are by `clock`."""
+        """Create a client; each call waits `answer_timeout_s` for a reply, and drains expire by `clock`."""
         self.name = config.name
         self.config = config
         self.answer_timeout_s = answer_timeout_s
         self.clock = clock
         self.process: ProcessIdentity | None = None
-        self.last_error = "not asked yet"
+        self.last_error = "not polled yet"
         self.drains_sent_ms = 0.0  # by the wall clock
         self.operation = ""
         self.polled = asyncio.Condition()
         self.report: DispatcherReport | None = None
-        self.plan_error = "not told yet"
+        self.plan_error = "no plan was sent yet"
 
     @contextlib.contextmanager
     def occupied_by(self, operation: str) -> Iterator[None]:
@@ -69,14 +69,14 @@
         finally:
             self.operation = ""
 
-    async def poll(self, wanted: DrainSet) -> None:
-        """Ask which processes there are, and send the drains to each that has an older set."""
+    async def poll(self, drains: DrainSet) -> None:
+        """Query the processes of the dispatcher, and send the drains to each that has an older set."""
         try:
             processes = await self.processes()
             for index, process in enumerate(processes):
-                if process.drain_version < wanted.version:
-                    await self._send_drains(process, wanted)
-                    processes[index] = process._replace(drain_version=wanted.version)
+                if process.drain_version < drains.version:
+                    await self._send_drains(process, drains)
+                    processes[index] = process._replace(drain_version=drains.version)
             self.process, self.last_error = processes[0], ""
         except NoAnswerError as error:
             self.process, self.last_error = None, str(error)
@@ -84,7 +84,7 @@
             self.polled.notify_all()
 
     async def identify(self, admin_address: str) -> ProcessIdentity:
-        """Ask the process at an admin address for its identity. Raises `NoAnswerError`."""
+        """Query the identity of the process at an admin address. Raises `NoAnswerError`."""
         reply = await call(admin_address, "WHO", self.answer_timeout_s)
         try:
             identity = orjson.loads(reply.text) if reply.ok else {}
@@ -97,23 +97,23 @@
                 (float(epoch), int(revision)),
             )
         except (ValueError, TypeError, KeyError) as error:
-            raise NoAnswerError("what answers is no dispatcher of this version") from error
+            raise NoAnswerError("WHO: invalid reply, not a dispatcher of this version") from error
 
     async def processes(self) -> list[ProcessIdentity]:
-        """Return the processes that answer, the one that serves first. Raises `NoAnswerError` for none."""
+        """Return the processes that answer, the serving one first. Raises `NoAnswerError` if none answers."""
         calls = [self.identify(address) for address in self.config.admin_addresses]
-        answers = await asyncio.gather(*calls, return_exceptions=True)
-        processes = [answer for answer in answers if isinstance(answer, ProcessIdentity)]
+        results = await asyncio.gather(*calls, return_exceptions=True)
+        processes = [result for result in results if isinstance(result, ProcessIdentity)]
         if not processes:
-            raise next(answer for answer in answers if isinstance(answer, BaseException))
+            raise next(result for result in results if isinstance(result, BaseException))
         return sorted(processes, key=lambda process: process.leaving == _HANDED_OVER)
 
-    def has_drains(self, wanted: DrainSet) -> bool:
-        """Return whether the serving process is known to have this set, or a newer one."""
-        return self.process is not None and self.process.drain_version >= wanted.version
+    def has_drains(self, drains: DrainSet) -> bool:
+        """Return whether the serving process has reported this set or a newer one."""
+        return self.process is not None and self.process.drain_version >= drains.version
 
     async def call_admin(self, line: str, timeout_s: float = INFINITY) -> AdminReply:
-        """Call the process that serves, within `timeout_s` and `answer_timeout_s`. Raises `NoAnswerError`."""
+        """Call the serving process, limited by `timeout_s` and `answer_timeout_s`. Raises `NoAnswerError`."""
         if self.process is None:
             raise NoAnswerError(self.last_error)
         return await call(self.process.admin_address, line, min(timeout_s, self.answer_timeout_s))
@@ -128,22 +128,22 @@
             kind_by_class = dict(orjson.loads(first)["needs"])
             return EndpointViews(kind_by_class, [dict(orjson.loads(line)) for line in lines])
         except (ValueError, TypeError, KeyError) as error:
-            raise NoAnswerError("its workers cannot be read") from error
+            raise NoAnswerError("WORKERS: the reply cannot be parsed") from error
 
     async def metrics(self) -> dict[str, int]:
-        """Return its metrics by name, without the prefix that all of them have. Raises `NoAnswerError`."""
+        """Return its metrics by name, without their common prefix. Raises `NoAnswerError`."""
         _, text = await self.call_admin("DUMP")
         pairs = [line.partition(":") for line in text.split("\n")[1:-1]]
         try:
             return {name.partition(".")[2]: int(value.partition("|")[0]) for name, _, value in pairs}
         except ValueError as error:
-            raise NoAnswerError("its figures cannot be read") from error
+            raise NoAnswerError("DUMP: the reply cannot be parsed") from error
 
-    async def _send_drains(self, process: ProcessIdentity, wanted: DrainSet) -> None:
+    async def _send_drains(self, process: ProcessIdentity, drains: DrainSet) -> None:
         sent_ms = self.clock.wall_ms()
-        encoded = drain_json.encode_drain_set(wanted._replace(ended=()), self.clock)
+        encoded = drain_json.encode_drain_set(drains._replace(ended=()), self.clock)
         line = "DRAINS " + orjson.dumps(encoded).decode()
         reply = await call(process.admin_address, line, self.answer_timeout_s)
         if not reply.ok:
-            raise NoAnswerError(f"did not take the drains: {reply.text}")
+            raise NoAnswerError(f"rejected the drains: {reply.text}")
         self.drains_sent_ms = sent_ms
--- a/dunepulley/agent/drain_distribution.py
+++ b/dunepulley/agent/drain_distribution.py
@@ -1,4 +1,4 @@
-"""A change of the drains: checked against what dispatchers see, stored, and taken by every dispatcher."""
+"""Changes the drains: checks the effect at each dispatcher, stores the set, and waits until all apply it."""
 
 from __future__ import annotations
 
@@ -22,13 +22,17 @@
 from dunepulley.net.log_events import LogEvent
 from dunepulley.routing.events import EndpointEntry
 
-QUICK_ANSWER_S = 0.3
-"""A dispatcher that answers at all does so in a few ms, unless its machine is overloaded."""
+FAST_ANSWER_TIMEOUT_S = 0.3
+"""Dispatchers normally answer within a few ms; only on an overloaded machine they take longer."""
 
 
 @dataclass(frozen=True, slots=True)
 class _Effect:
-    """What a drain would do at one dispatcher: whether it covers anything, and the classes left unserved."""
+    """The effect of a drain at one dispatcher.
+
+    `covers_any` is whether the drain covers any endpoint; `unserved` are the request classes that it would
+    leave without an endpoint.
+    """
 
     dispatcher: str
     covers_any: bool
@@ -36,9 +40,9 @@
 
 
 class DrainDistributor:
-    """Brings the set in force to all dispatchers of the host.
+    """Distributes the drain set in force to all dispatchers of the host.
 
-    The caller holds `store.lock` from before it reads the present set until `apply` has returned.
+    The caller holds `store.lock` from before it reads the current set until `apply` has returned.
     """
 
     def __init__(
@@ -50,12 +54,12 @@
         self.answer_timeout_s = answer_timeout_s
         self._changed = asyncio.Condition()
 
-    async def check_effect(self, drain: Drain, wanted: DrainSet, now_ms: float) -> None:
-        """Refuse a drain that covers no endpoint, or leaves a dispatcher unable to serve a request class.
+    async def check_effect(self, drain: Drain, new_drains: DrainSet, now_ms: float) -> None:
+        """Raise `RequestError` if a drain covers no endpoint, or leaves a request class without an endpoint.
 
-        Raises `RequestError`. Dispatchers that do not answer are not counted.
+        Dispatchers that do not answer are ignored.
         """
-        effects = await self._effects(drain, wanted, now_ms)
+        effects = await self._effects(drain, new_drains, now_ms)
         for effect in effects:
             if effect.unserved:
                 classes = ", ".join(effect.unserved)
@@ -68,35 +72,36 @@
                 f"no dispatcher knows {drain.target_kind} {drain.target} ({answered}); --force does it anyway"
             )
 
-    async def apply(self, wanted: DrainSet, timeout_s: float, summary: str) -> list[DispatcherResult]:
-        """Put a set in force and wait up to `timeout_s` for each dispatcher to take it.
+    async def apply(self, new_drains: DrainSet, timeout_s: float, summary: str) -> list[DispatcherResult]:
+        """Put a set in force and wait up to `timeout_s` for each dispatcher to apply it.
 
-        `summary` names the change in the log. Raises `RequestError` where the set could not be written.
+        `summary` describes the change in the log. Raises `RequestError` if the set could not be written.
         """
         try:
-            self.store.write(wanted)
+            self.store.write(new_drains)
         except DrainFileError as error:
             raise RequestError(f"{error}; nothing has changed") from error
         async with self._changed:
             self._changed.notify_all()
-        log.write(LogEvent.DRAINS, f"revision {wanted.revision}: {summary}")
-        taken = functools.partial(_wait_until_taken, wanted=wanted, timeout_s=timeout_s)
-        return await results.ask_each(self.dispatchers.values(), taken)
+        log.write(LogEvent.DRAINS, f"revision {new_drains.revision}: {summary}")
+        wait = functools.partial(_wait_until_applied, new_drains=new_drains, timeout_s=timeout_s)
+        return await results.call_each(self.dispatchers.values(), wait)
 
-    async def wait_for_change(self, known: DrainSet, timeout_s: float) -> None:
-        """Return once the set in force is another than `known`, or after `timeout_s` seconds."""
+    async def wait_for_change(self, last_seen: DrainSet, timeout_s: float) -> None:
+        """Wait until the set in force differs from `last_seen`, for at most `timeout_s` seconds."""
         async with self._changed:
-            if self.store.drains.version == known.version:
+            if self.store.drains.version == last_seen.version:
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(timeout_s):
                         await self._changed.wait()
 
-    async def _effects(self, drain: Drain, wanted: DrainSet, now_ms: float) -> list[_Effect]:
-        """Return what a drain would do at each dispatcher that answers."""
-        # One that hangs must not delay a drain at the others; if none answers so soon, they get their time.
-        for timeout_s in (QUICK_ANSWER_S, self.answer_timeout_s):
+    async def _effects(self, drain: Drain, new_drains: DrainSet, now_ms: float) -> list[_Effect]:
+        """Return the effect of a drain at each dispatcher that answers."""
+        # A dispatcher that hangs must not delay a drain at the others. Only if none answers within the short
+        # timeout, all get the full one.
+        for timeout_s in (FAST_ANSWER_TIMEOUT_S, self.answer_timeout_s):
             calls = [
-                self._effect_at(dispatcher, drain, wanted, now_ms, timeout_s)
+                self._effect_at(dispatcher, drain, new_drains, now_ms, timeout_s)
                 for dispatcher in self.dispatchers.values()
             ]
             effects = [effect for effect in await asyncio.gather(*calls) if effect is not None]
@@ -105,16 +110,16 @@
         return []
 
     async def _effect_at(
-        self, dispatcher: Dispatcher, drain: Drain, wanted: DrainSet, now_ms: float, timeout_s: float
+        self, dispatcher: Dispatcher, drain: Drain, new_drains: DrainSet, now_ms: float, timeout_s: float
     ) -> _Effect | None:
-        """Return what a drain would do at a dispatcher, or None where it does not answer."""
+        """Return the effect of a drain at one dispatcher, or None if it does not answer."""
         try:
             views = await dispatcher.endpoints(timeout_s)
         except NoAnswerError:
             return None
         entries = [_entry_of(view) for view in views.endpoints]
-        unserved = drains.unserved_classes(wanted, entries, views.kind_by_class, now_ms)
-        # A class that has no endpoint already is not this drain's doing.
+        unserved = drains.unserved_classes(new_drains, entries, views.kind_by_class, now_ms)
+        # Classes that have no endpoint already are not caused by this drain.
         before = drains.unserved_classes(self.store.drains, entries, views.kind_by_class, now_ms)
         return _Effect(
             dispatcher.name,
@@ -123,18 +128,20 @@
         )
 
 
-async def _wait_until_taken(dispatcher: Dispatcher, wanted: DrainSet, timeout_s: float) -> DispatcherResult:
-    """Wait until a dispatcher is known to have a set. Raises `NoAnswerError` after `timeout_s` seconds."""
+async def _wait_until_applied(
+    dispatcher: Dispatcher, new_drains: DrainSet, timeout_s: float
+) -> DispatcherResult:
+    """Wait until a dispatcher has reported a set. Raises `NoAnswerError` after `timeout_s` seconds."""
     try:
         async with asyncio.timeout(timeout_s), dispatcher.polled:
-            await dispatcher.polled.wait_for(lambda: dispatcher.has_drains(wanted))
+            await dispatcher.polled.wait_for(lambda: dispatcher.has_drains(new_drains))
     except TimeoutError as error:
-        raise NoAnswerError(dispatcher.last_error or "has not taken it yet") from error
+        raise NoAnswerError(dispatcher.last_error or "has not applied it yet") from error
     return DispatcherResult(dispatcher.name)
 
 
 def _entry_of(view: dict[str, Any]) -> EndpointEntry:
-    """Return an endpoint as the endpoint list has it, of what a dispatcher says of it."""
+    """Return the entry of the endpoint list that a dispatcher's description of an endpoint contains."""
     return EndpointEntry(
         str(view.get("id")),
         zone=str(view.get("zone")),
--- a/dunepulley/agent/drain_file.py
+++ b/dunepulley/agent/drain_file.py
@@ -1,4 +1,4 @@
-"""The agent's file of drains (JSON, see `drain_json`): read at start, replaced as a whole by each write."""
+"""The agent's file of drains (JSON, see `drain_json`): read at the start, and replaced by each write."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 
 
 class DrainFileError(StorageError):
-    """The file cannot be read or written; the text says why in one line."""
+    """The file cannot be read or written; the text gives the reason in one line."""
 
 
 class NotDurableError(DrainFileError):
-    """The file holds the new set, but a crash of the machine may bring the former one back."""
+    """The file contains the new set, but a crash of the machine may restore the previous one."""
 
 
 def load(path: str, now_ms: float, clock: Clock | None = None) -> DrainSet:
-    """Return the set in the file, its expiries by `clock`; without one they are in Unix ms as written.
+    """Return the set in the file, with expiries by `clock`; without a clock they are in Unix ms as written.
 
-    Where there is no file a new epoch begins at `now_ms`, in Unix ms. Raises `DrainFileError` where the file
-    is there and cannot be read.
+    Without a file, returns an empty set of a new epoch that begins at `now_ms`, in Unix ms. Raises
+    `DrainFileError` if the file exists and cannot be read.
     """
     try:
         with open(path, "rb") as file:
@@ -35,14 +35,15 @@
 
 
 def save(path: str, drains: DrainSet, clock: Clock | None = None) -> None:
-    """Replace the file by a set whose expiries are by `clock`, durably.
+    """Write a set whose expiries are by `clock` to the file, durably.
 
-    Raises `DrainFileError` where the file holds the former set, `NotDurableError` where it holds this one.
+    Raises `DrainFileError` if the file still contains the previous set, and `NotDurableError` if it contains
+    this one but a crash may restore the previous one.
     """
     encoded = drain_json.encode_drain_set(drains, clock)
     try:
         atomic_file.replace_file(path, orjson.dumps(encoded, option=orjson.OPT_INDENT_2))
     except atomic_file.NotDurableError as error:
-        raise NotDurableError(f"cannot write {path} for good: {error}") from error
+        raise NotDurableError(f"cannot write {path} durably: {error}") from error
     except OSError as error:
         raise DrainFileError(f"cannot write {path}: {error.strerror}") from error
--- a/dunepulley/agent/fleet_commands.py
+++ b/dunepulley/agent/fleet_commands.py
@@ -1,4 +1,4 @@
-"""What operators ask of a fleet through its agents: to show the zones, and to override the plan of one."""
+"""The operators' commands on a fleet: show the zones, and override the plan of one zone."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class OverrideRequest(NamedTuple):
-    """An operator's order, how long to try for, and whether to force it or only to check it."""
+    """An operator's override, its timeout, and whether to force it or only to check it."""
 
     override: OperatorOverride
     timeout_s: float
@@ -36,32 +36,34 @@
 
 
 def decode_override_request(message: dict[str, Any]) -> OverrideRequest:
-    """An operator's order as the tool sends it; raises `ProtocolError` or `RequestError` on anything else."""
-    says = message.get("says")
-    if says not in list(OverrideAction):
-        raise ProtocolError(f"says is {str(says)[:MAX_SHOWN_ACTION]!r}")
-    action = OverrideAction(says)
+    """Decode an override that `ctl` sent; raises `ProtocolError` or `RequestError` if it is invalid."""
+    action_name = message.get("says")
+    if action_name not in list(OverrideAction):
+        raise ProtocolError(
+            f"says: expected one of {', '.join(OverrideAction)}, got {str(action_name)[:MAX_SHOWN_ACTION]!r}"
+        )
+    action = OverrideAction(action_name)
     duration_s = message.get("for_s")
     if duration_s is not None and (
         not is_number(duration_s) or not 0.0 < duration_s <= MAX_OVERRIDE_DURATION_S
     ):
-        raise ProtocolError("for_s is no time")
-    order = {
+        raise ProtocolError(f"for_s: expected a time above 0 and up to {MAX_OVERRIDE_DURATION_S:g} s")
+    encoded = {
         "zone": message.get("zone"),
-        # A return is no order that a plan holds, but it is checked like one.
+        # A return is not stored in a plan, but its other fields are checked like those of an override.
         "what": OverrideAction.EVACUATE if action == OverrideAction.RETURN else action,
         "by": message.get("by"),
         "why": message.get("why", ""),
         "left": None if duration_s is None else duration_s * 1000.0,
     }
-    override = codec.decode_override(order)._replace(action=action)
+    override = codec.decode_override(encoded)._replace(action=action)
     request = CommandRequest(message)
     timeout_s = request.seconds("limit_s", OVERRIDE_TIMEOUT_S, MAX_OVERRIDE_TIMEOUT_S)
     return OverrideRequest(override, timeout_s, request.flag("force"), request.flag("check"))
 
 
 class FleetCommands:
-    """Carries out operators' commands at one agent."""
+    """Handles the operators' fleet commands at one agent."""
 
     def __init__(
         self,
@@ -78,10 +80,10 @@
     # ---------------------------------------------------------------- showing zones
 
     async def handle_zones(self, message: dict[str, Any]) -> dict[str, Any]:
-        """All that is to be seen of the fleet from this agent."""
+        """Reply with the state of the fleet as this agent sees it."""
         state, now = self._state, steady_ms()
         plan = state.plan._replace(overrides=state.planner.overrides(now))
-        confirmed_ms = now - state.confirmed_ms(self._acceptor.vouched_version())
+        confirmed_ms = now - state.confirmed_ms(self._acceptor.voting_version())
         return {
             "ok": True,
             "plan": {
@@ -117,23 +119,23 @@
 
     def _agent_row(self, name: str, status: str) -> dict[str, Any]:
         if name == self._state.name:
-            votes, detail = not self._acceptor.refusal, self._acceptor.refusal
+            votes, detail = not self._acceptor.not_voting_reason, self._acceptor.not_voting_reason
         else:
             votes = self._state.is_confirmed_by(name)
-            detail = self._state.membership.problems.get(name, "")
+            detail = self._state.membership.last_errors.get(name, "")
         return {"name": name, "stands": status, "votes": votes, "detail": detail}
 
     # ---------------------------------------------------------------- overriding the plan
 
     async def handle_zone(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Override the plan of a zone, or end that; raises as `decode_override_request` does."""
+        """Set or end an override of a zone; raises as `decode_override_request` does."""
         request = decode_override_request(message)
         override = request.override
 
-        def change(present: Plan) -> Plan:
-            # Where the register holds a newer plan than is known here, the order applies to that one.
+        def change(current: Plan) -> Plan:
+            # If the register has a newer plan than this agent, the override is applied to the newer one.
             now = steady_ms()
-            planner = self._state.planner.assuming(present, now)
+            planner = self._state.planner.copy_with_plan(current, now)
             view = self._state.view(now)
             return planner.plan_with_override(view, now, unix_ms(), override, request.force)
 
@@ -144,9 +146,9 @@
             plan = await self._planning.agree(change, request.timeout_s)
         except (ChangeRefusedError, NoMajorityError) as error:
             return {"ok": False, "refused": str(error)}
-        order = f"{override.operator} says {override.action} {override.zone}"
-        log.write(LogEvent.PLAN, f"{order}: {override.reason}")
-        dispatchers = await self._distributor.wait_until_taken(plan, request.timeout_s)
+        summary = f"override by {override.operator}: {override.action} {override.zone}"
+        log.write(LogEvent.PLAN, f"{summary}: {override.reason}")
+        dispatchers = await self._distributor.wait_until_applied(plan, request.timeout_s)
         state = plan.zone(override.zone).state.value
         return {"number": plan.number, "state": state, "dispatchers": dispatchers}
 
--- a/dunepulley/agent/fleet_planning.py
+++ b/dunepulley/agent/fleet_planning.py
@@ -1,4 +1,4 @@
-"""The planning loop: observes the fleet all the time, and has a new plan agreed while this agent leads."""
+"""The planning loop: observes the fleet, and proposes new plans while this agent leads."""
 
 from __future__ import annotations
 
@@ -19,28 +19,28 @@
 from dunepulley.net import log
 from dunepulley.net.log_events import LogEvent
 
-# How long one decision may take: two round trips.
+# The timeout of one decision: two round trips.
 AGREE_TIMEOUT_S = 2.0 * CALL_TIMEOUT_S
 
 
 class PlanningLoop:
-    """Decides on new plans; operators' changes take the same lock, so that an agent makes one at a time."""
+    """Decides on new plans. Operators' changes take the same lock, so that an agent makes one at a time."""
 
     def __init__(self, state: FleetState, acceptor: FleetAcceptor, proposer: PlanProposer) -> None:
         self._state = state
         self._acceptor = acceptor
         self._proposer = proposer
-        self._deciding = asyncio.Lock()
+        self._lock = asyncio.Lock()
 
     async def run(self) -> None:
-        """Check the plan at each heartbeat for ever."""
+        """Check the plan at each heartbeat; runs until cancelled."""
         started_ms = steady_ms()
         while True:
             await asyncio.sleep(HEARTBEAT_INTERVAL_S)
             now = steady_ms()
             view = self._state.view(now)
             self._state.planner.observe(view, now)
-            # An agent that has just started has not seen what it needs to.
+            # An agent that has just started has not observed the fleet for long enough.
             if now - started_ms < WINDOW_MS or not self._state.membership.may_lead(now):
                 continue
             try:
@@ -48,18 +48,18 @@
             except (ChangeRefusedError, NoMajorityError) as error:
                 log.write(LogEvent.PLAN, f"not decided: {error}")
             except Exception as error:
-                log.write(LogEvent.FAULT, f"deciding: {error!r}")
+                log.write(LogEvent.FAULT, f"error in the planning loop: {error!r}")
 
     async def agree(self, change: PlanChange, timeout_s: float) -> Plan:
-        """Have a change agreed after what is being decided; raises as `PlanProposer.agree` does."""
-        async with self._deciding:
+        """Agree on a change, after any decision in progress; raises as `PlanProposer.agree` does."""
+        async with self._lock:
             return await self._proposer.agree(change, timeout_s)
 
     async def _decide(self, view: FleetView, now: float) -> None:
-        async with self._deciding:
+        async with self._lock:
             newest = max([self._acceptor.accepted_version(), *self._state.accepted_versions()])
             if newest > self._state.plan.version:
-                # A proposer did not finish: settle its plan before another is made.
+                # A proposer did not finish its round: complete it before another plan is made.
                 await self._read_register()
                 return
             plan = self._state.planner.decide(view, now, unix_ms())
@@ -68,20 +68,20 @@
             try:
                 await self._propose(plan)
             except ChangeRefusedError:
-                # Learn what is there; the next check decides from it.
+                # Learn the plan in the register; the next check starts from it.
                 await self._read_register()
 
     async def _propose(self, plan: Plan) -> None:
-        """Have a plan agreed, unless the register holds another than the one that it was made from."""
-        made_from = self._state.plan.version
+        """Agree on a plan, unless the register has changed since the plan that it is based on."""
+        base_version = self._state.plan.version
 
-        def change(present: Plan) -> Plan:
-            if present.version != made_from:
-                raise ChangeRefusedError(f"number {present.number} is there already")
+        def change(current: Plan) -> Plan:
+            if current.version != base_version:
+                raise ChangeRefusedError(f"plan {current.number} was agreed on meanwhile")
             return plan
 
         await self._proposer.agree(change, AGREE_TIMEOUT_S)
 
     async def _read_register(self) -> None:
-        """Agree on what the register holds, and learn it."""
-        await self._proposer.agree(lambda present: present, AGREE_TIMEOUT_S)
+        """Read the register by a round that does not change it, and learn its plan."""
+        await self._proposer.agree(lambda current: current, AGREE_TIMEOUT_S)
--- a/dunepulley/agent/fleet_proposer.py
+++ b/dunepulley/agent/fleet_proposer.py
@@ -1,4 +1,4 @@
-"""This agent as a CASPaxos proposer: changes the plan in the register that the fleet's acceptors hold."""
+"""This agent's CASPaxos proposer: changes the plan in the register that the fleet's acceptors replicate."""
 
 from __future__ import annotations
 
@@ -19,22 +19,22 @@
 from dunepulley.control.traffic_plan import Plan
 from dunepulley.errors import UnavailableError
 
-# The wait before the next round is random within the backoff, which doubles with each round.
+# The wait before the next round is random, from 0 to a backoff that doubles with each round.
 MIN_BACKOFF_S = 0.05
 MAX_BACKOFF_S = 1.0
 MAX_SHOWN_REFUSAL = 200
 
-# Gives the next plan from the one in the register, or raises `ChangeRefusedError`.
+# Returns the next plan for the one in the register, or raises `ChangeRefusedError`.
 PlanChange: TypeAlias = Callable[[Plan], Plan]
 _ReplyHandler: TypeAlias = Callable[[str, AcceptorReply], RoundState]
 
 
 class NoMajorityError(UnavailableError):
-    """Too few members answered; the text says how many."""
+    """No majority of acceptors granted a round; the text says how many did."""
 
 
 class PlanProposer:
-    """Runs rounds until the plan is changed, the change is refused, or the time is up."""
+    """Runs rounds until the plan is changed, the change is refused, or the timeout has passed."""
 
     def __init__(self, state: FleetState, acceptor: FleetAcceptor) -> None:
         self._state = state
@@ -42,22 +42,22 @@
         self._acceptors = frozenset(state.config.members)
         self._counter = 0
         self._random = random.Random(state.name)
-        # Calls of committed rounds that need not be waited for.
-        self._late_calls: set[asyncio.Task[None]] = set()
+        # Calls of committed rounds that are still in progress, and that no caller waits for.
+        self._background_calls: set[asyncio.Task[None]] = set()
         self._local_handlers: dict[str, Callable[[dict[str, Any]], Awaitable[dict[str, Any]]]] = {
             "prepare": acceptor.handle_prepare,
             "accept": acceptor.handle_accept,
         }
 
-    def late_calls(self) -> list[asyncio.Task[None]]:
-        """Calls that still run; whoever closes the fleet cancels them."""
-        return list(self._late_calls)
+    def background_calls(self) -> list[asyncio.Task[None]]:
+        """Calls of committed rounds that are in progress; to be cancelled when the fleet is closed."""
+        return list(self._background_calls)
 
     async def agree(self, change: PlanChange, timeout_s: float) -> Plan:
-        """Change the agreed plan, and return the one that was agreed.
+        """Change the agreed plan, and return the new one.
 
-        Raises `ChangeRefusedError` where the change does not apply, and `NoMajorityError` where no round was
-        committed within `timeout_s`; whether one took effect is then unknown.
+        Raises `ChangeRefusedError` if the change does not apply, and `NoMajorityError` if no round was
+        committed within `timeout_s`; whether a round took effect is then unknown.
         """
         deadline_ms, backoff_s, most_promises = steady_ms() + timeout_s * 1000.0, MIN_BACKOFF_S, 0
         while True:
@@ -77,16 +77,16 @@
 
     def _failure(self, round_: ProposerRound, most_promises: int) -> str:
         if round_.state == RoundState.PREEMPTED and most_promises >= round_.majority:
-            return "others decide at the same time; look and try again"
-        return f"{most_promises} of {len(self._acceptors)} agents vote, {round_.majority} decide"
+            return "other agents change the plan at the same time; check it and try again"
+        return f"{most_promises} of {len(self._acceptors)} acceptors promised, {round_.majority} are required"
 
     async def _run_round(self, change: PlanChange) -> ProposerRound:
-        """One round with a ballot newer than any that was seen."""
+        """Run one round, with a ballot newer than any seen so far."""
 
         def change_value(value: bytes) -> bytes:
             epoch = self._state.config.epoch
-            present = codec.decode_plan(orjson.loads(value)) if value else Plan(epoch)
-            return orjson.dumps(codec.encode_plan(change(present)))
+            current = codec.decode_plan(orjson.loads(value)) if value else Plan(epoch)
+            return orjson.dumps(codec.encode_plan(change(current)))
 
         self._counter = max(self._counter, self._acceptor.store.state.promised.counter) + 1
         round_ = ProposerRound(self._acceptors, Ballot(self._counter, self._state.name), change_value)
@@ -97,7 +97,7 @@
         return round_
 
     async def _ask_all(self, round_: ProposerRound, request: dict[str, Any], on_reply: _ReplyHandler) -> None:
-        """Ask all acceptors at once, until the round's state changes or all have replied."""
+        """Call all acceptors concurrently, until the round's state changes or all have replied."""
         phase = round_.state
         ballot = codec.encode_ballot(round_.ballot)
         message = request | {"from": self._state.name, "epoch": self._state.config.epoch, "ballot": ballot}
@@ -114,16 +114,16 @@
             self._release(calls, round_)
 
     def _release(self, calls: set[asyncio.Task[None]], round_: ProposerRound) -> None:
-        """Cancel calls that are not waited for; those of a committed round may reach the last acceptors."""
+        """Cancel the remaining calls; those of a committed round go on, to reach the other acceptors too."""
         for call in calls:
             if round_.state == RoundState.COMMITTED:
-                self._late_calls.add(call)
-                call.add_done_callback(self._late_calls.discard)
+                self._background_calls.add(call)
+                call.add_done_callback(self._background_calls.discard)
             else:
                 call.cancel()
 
     async def _ask(self, name: str, message: dict[str, Any]) -> AcceptorReply:
-        """The reply of one acceptor; raises `WireError`, `ProtocolError` or the store's error."""
+        """Return the reply of one acceptor; raises `WireError`, `ProtocolError` or `AcceptorStoreError`."""
         if name == self._state.name:
             reply = await self._local_handlers[message["do"]](message)
         else:
--- a/dunepulley/agent/operator_commands.py
+++ b/dunepulley/agent/operator_commands.py
@@ -1,4 +1,4 @@
-"""The commands of operators on the dispatchers of this host: requests are read, replies put together."""
+"""The operators' commands on the dispatchers of this host: decodes requests and builds the replies."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class OperatorCommands:
-    """Handlers of `ctl`'s commands; `handlers` has them by the name on the wire."""
+    """Handlers of `ctl`'s commands; `handlers` has them by their names on the wire."""
 
     def __init__(
         self,
@@ -34,7 +34,7 @@
         rolling_restart: RollingRestart,
         clock: Clock,
     ) -> None:
-        """Act on these parts of an agent; expiries of drains are by `clock`."""
+        """Create handlers that act on these parts of an agent; expiries of drains are by `clock`."""
         self._dispatchers = dispatchers
         self._store = store
         self._distributor = distributor
@@ -55,9 +55,9 @@
     # Inspection.
 
     async def _list(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Each dispatcher: its process, and a few of its metrics."""
+        """Reply with the process and a few metrics of each dispatcher."""
         selected = CommandRequest(message).select(self._dispatchers)
-        return results.reply_of(await results.ask_each(selected, self._summarise))
+        return results.to_reply(await results.call_each(selected, self._summarise))
 
     async def _summarise(self, dispatcher: Dispatcher) -> DispatcherResult:
         metrics = await dispatcher.metrics()
@@ -79,7 +79,7 @@
         return DispatcherResult(dispatcher.name, fields=fields)
 
     async def _show(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Each dispatcher: all its endpoints, and all its metrics."""
+        """Reply with all endpoints and all metrics of each dispatcher."""
 
         async def show(dispatcher: Dispatcher) -> DispatcherResult:
             views = await dispatcher.endpoints()
@@ -88,26 +88,26 @@
             return DispatcherResult(dispatcher.name, fields=fields)
 
         selected = CommandRequest(message).select(self._dispatchers)
-        return results.reply_of(await results.ask_each(selected, show))
+        return results.to_reply(await results.call_each(selected, show))
 
     async def _show_endpoint(self, message: dict[str, Any]) -> dict[str, Any]:
-        """One endpoint, as each dispatcher sees it."""
+        """Reply with one endpoint as each dispatcher sees it."""
         endpoint_id = CommandRequest(message).endpoint_id()
 
         async def show(dispatcher: Dispatcher) -> DispatcherResult:
             views = await dispatcher.endpoints()
-            found = [view for view in views.endpoints if view.get("id") == endpoint_id]
-            if not found:
+            matching = [view for view in views.endpoints if view.get("id") == endpoint_id]
+            if not matching:
                 return results.detail(dispatcher, ResultState.REFUSED, "not in its list")
-            return DispatcherResult(dispatcher.name, fields={"worker": found[0]})
+            return DispatcherResult(dispatcher.name, fields={"worker": matching[0]})
 
-        return results.reply_of(await results.ask_each(self._dispatchers.values(), show))
+        return results.to_reply(await results.call_each(self._dispatchers.values(), show))
 
     async def _list_drains(self, message: dict[str, Any]) -> dict[str, Any]:
-        """The drains in force, those that have ended, and which set each dispatcher has."""
+        """Reply with the drains in force, those that have ended, and each dispatcher's revision."""
         in_force = tuple(self._store.drains.in_force(self._clock()))
-        shown = self._store.drains._replace(drains=in_force)
-        reply = drain_json.encode_drain_set(shown, self._clock) | self._unwritten()
+        listed_drains = self._store.drains._replace(drains=in_force)
+        reply = drain_json.encode_drain_set(listed_drains, self._clock) | self._unwritten()
 
         async def show(dispatcher: Dispatcher) -> DispatcherResult:
             if dispatcher.process is None:
@@ -118,31 +118,31 @@
             fields = {"drains": revision, "told": dispatcher.drains_sent_ms}
             return DispatcherResult(dispatcher.name, state, fields)
 
-        return reply | results.reply_of(await results.ask_each(self._dispatchers.values(), show))
+        return reply | results.to_reply(await results.call_each(self._dispatchers.values(), show))
 
     # Drains.
 
     async def _drain(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Set a drain, unless dispatchers would lose their last endpoints by it."""
+        """Set a drain, unless a dispatcher would be left without an endpoint for a request class."""
         request = CommandRequest(message)
-        lasts_ms = request.drain_seconds() * 1000.0
+        duration_ms = request.drain_seconds() * 1000.0
         drain = request.drain()
         async with self._store.lock:
             now_ms = self._clock()
-            drain = drain._replace(expires_ms=now_ms + lasts_ms)
+            drain = drain._replace(expires_ms=now_ms + duration_ms)
             over_revision, wall_ms = request.over_revision(), self._clock.to_wall_ms(now_ms)
-            wanted = drains.set_drain(self._store.drains, drain, now_ms, over_revision, wall_ms)
+            new_drains = drains.set_drain(self._store.drains, drain, now_ms, over_revision, wall_ms)
             if not request.flag("force"):
-                await self._distributor.check_effect(drain, wanted, now_ms)
-            return await self._apply(request, wanted, f"drain {drain.target_kind} {drain.target}")
+                await self._distributor.check_effect(drain, new_drains, now_ms)
+            return await self._apply(request, new_drains, f"drain {drain.target_kind} {drain.target}")
 
     async def _restore(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Take a drain back."""
+        """Remove a drain."""
         request = CommandRequest(message)
         drain = request.drain_to_restore()
         async with self._store.lock:
             now_ms, over_revision = self._clock(), request.over_revision()
-            wanted = drains.restore(
+            new_drains = drains.restore(
                 self._store.drains,
                 drain.target_kind,
                 drain.target,
@@ -151,15 +151,15 @@
                 over_revision,
                 self._clock.to_wall_ms(now_ms),
             )
-            return await self._apply(request, wanted, f"restore {drain.target_kind} {drain.target}")
+            return await self._apply(request, new_drains, f"restore {drain.target_kind} {drain.target}")
 
-    async def _apply(self, request: CommandRequest, wanted: DrainSet, summary: str) -> dict[str, Any]:
-        """Put a set in force, and reply which dispatchers are known to have it; with `check` do nothing."""
+    async def _apply(self, request: CommandRequest, new_drains: DrainSet, summary: str) -> dict[str, Any]:
+        """Put a set in force, and reply which dispatchers have reported it; with `check` do nothing."""
         timeout_s = request.seconds("limit_s", _APPLY_S, _MAX_APPLY_S)
         if request.flag("check"):
             return {"ok": True, "dispatchers": []}
-        reply = results.reply_of(await self._distributor.apply(wanted, timeout_s, summary))
-        # In force but not durable: the operator's command is not complete.
+        reply = results.to_reply(await self._distributor.apply(new_drains, timeout_s, summary))
+        # If the set is in force but not durable, the operator's command is not complete.
         return reply | ({"ok": False} | self._unwritten() if self._store.durability_error else {})
 
     def _unwritten(self) -> dict[str, Any]:
@@ -168,7 +168,7 @@
     # Dispatchers.
 
     async def _leave(self, message: dict[str, Any]) -> dict[str, Any]:
-        """Have dispatchers send their clients away."""
+        """Have dispatchers stop accepting clients and drain the connected ones."""
         return await self._call_selected(message, "LEAVE")
 
     async def _join(self, message: dict[str, Any]) -> dict[str, Any]:
@@ -182,7 +182,7 @@
             return results.detail(dispatcher, state, answer.text)
 
         selected = CommandRequest(message).select(self._dispatchers)
-        return results.reply_of(await results.ask_each(selected, call))
+        return results.to_reply(await results.call_each(selected, call))
 
     async def _restart(self, message: dict[str, Any]) -> dict[str, Any]:
         """Restart dispatchers one after the other; with `check` do nothing."""
@@ -191,4 +191,4 @@
         timeout_s = request.seconds("limit_s", _RESTART_S, _MAX_RESTART_S)
         if request.flag("check"):
             return {"ok": True, "dispatchers": []}
-        return results.reply_of(await self._rolling_restart.run(selected, timeout_s))
+        return results.to_reply(await self._rolling_restart.run(selected, timeout_s))
--- a/dunepulley/agent/restart.py
+++ b/dunepulley/agent/restart.py
@@ -1,8 +1,8 @@
-"""Restart of one dispatcher: a hot restart where it has two admin addresses, else stop and start.
+"""Restart of one dispatcher: a hot restart if it has two admin addresses, otherwise stop and start.
 
-A hot restart starts a child process beside the parent, which hands over its listening socket and ends; no
-client is disconnected. With one admin address the process first drains its clients, is then ended, and either
-the agent or its service manager starts the next.
+A hot restart starts a child process beside the parent, which passes its listening socket on and exits; no
+client is disconnected. With one admin address the process first drains its clients and is then terminated,
+and either the agent or the service manager starts the next one.
 """
 
 from __future__ import annotations
@@ -17,28 +17,28 @@
 
 _POLL_S = 0.05
 _DRAIN_POLL_S = 0.1
-# Where a process that the agent starts finds the address of its admin interface.
+# The environment variable that passes the address of its admin interface to a started process.
 _ADMIN_ADDRESS_VARIABLE = "ROUTER_CONSOLE"
 
 
 async def restart(dispatcher: Dispatcher, timeout_s: float) -> str:
-    """Put another process in a dispatcher's place and return what was done, as a line for operators.
+    """Replace a dispatcher's process, and return a line for operators that names both processes.
 
-    Raises `NoAnswerError` where the other process does not serve within `timeout_s`, in seconds, and
-    `OSError` where it cannot be started.
+    Raises `NoAnswerError` if the new process does not serve within `timeout_s` seconds, and `OSError` if it
+    cannot be started.
     """
-    hot = len(dispatcher.config.admin_addresses) == 2
+    is_hot_restart = len(dispatcher.config.admin_addresses) == 2
     try:
         async with asyncio.timeout(timeout_s):
             parent = (await dispatcher.processes())[0]
-            child = await (_hot_restart if hot else _stop_and_start)(dispatcher, parent)
+            child = await (_hot_restart if is_hot_restart else _stop_and_start)(dispatcher, parent)
     except TimeoutError as error:
-        raise NoAnswerError(f"not there again within {timeout_s:g} s") from error
+        raise NoAnswerError(f"the new process does not serve within {timeout_s:g} s") from error
     return f"process {child.pid} in place of {parent.pid}"
 
 
 async def _hot_restart(dispatcher: Dispatcher, parent: ProcessIdentity) -> ProcessIdentity:
-    """Start a child beside the parent, and wait until it serves and the parent has ended."""
+    """Start a child beside the parent, and wait until the child serves and the parent has exited."""
     addresses = dispatcher.config.admin_addresses
     free_address = next(address for address in addresses if address != parent.admin_address)
     process = await _start_process(dispatcher, free_address)
@@ -47,10 +47,12 @@
     try:
         await asyncio.wait([ended, serving], return_when=asyncio.FIRST_COMPLETED)
         if not serving.done():
-            raise NoAnswerError(f"the new process ended with {ended.result()}; the old one goes on")
+            raise NoAnswerError(
+                f"the new process exited with code {ended.result()}; the old one keeps serving"
+            )
         child = serving.result()
     except asyncio.CancelledError:
-        # Out of time: the child must not take over unobserved.
+        # On timeout the child is stopped, so that it does not take over after the failure is reported.
         with contextlib.suppress(ProcessLookupError):
             process.terminate()
         raise
@@ -61,13 +63,13 @@
 
 
 async def _stop_and_start(dispatcher: Dispatcher, parent: ProcessIdentity) -> ProcessIdentity:
-    """Drain the only process, end it, and wait until the next one serves."""
+    """Drain the only process, terminate it, and wait until the next one serves."""
     await call(parent.admin_address, "LEAVE", dispatcher.answer_timeout_s)
     try:
         while (await dispatcher.metrics()).get("current", 0):
             await asyncio.sleep(_DRAIN_POLL_S)
     except asyncio.CancelledError:
-        # Out of time: requests in flight are not cut off, and clients may come again.
+        # On timeout the requests in flight are not aborted, and the process accepts clients again.
         with contextlib.suppress(NoAnswerError):
             await call(parent.admin_address, "JOIN", dispatcher.answer_timeout_s)
         raise
@@ -89,7 +91,7 @@
 
 
 async def _wait_until_serving(dispatcher: Dispatcher, address: str, former_pid: int) -> ProcessIdentity:
-    """Wait without limit until another process than the former serves at an admin address."""
+    """Wait, without a timeout, until a process other than the former one serves at an admin address."""
     while True:
         with contextlib.suppress(NoAnswerError):
             process = await dispatcher.identify(address)
@@ -101,7 +103,7 @@
 
 
 async def _wait_until_ended(dispatcher: Dispatcher, process: ProcessIdentity) -> None:
-    """Wait without limit until a process has ended."""
+    """Wait, without a timeout, until a process has exited."""
     while True:
         try:
             if (await dispatcher.identify(process.admin_address)).pid != process.pid:
@@ -113,7 +115,7 @@
 
 
 def _is_alive(pid: int) -> bool:
-    """Return whether a process with this id runs, be it another user's."""
+    """Return whether a process with this id exists, even if it is another user's."""
     try:
         os.kill(pid, 0)
     except ProcessLookupError:
--- a/dunepulley/agent/results.py
+++ b/dunepulley/agent/results.py
@@ -1,4 +1,4 @@
-"""What became of a command at each dispatcher of the host."""
+"""The results of a command at each dispatcher of the host."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class ResultState(StrEnum):
-    """Whether a command was carried out; the values are those of the wire."""
+    """Whether a command was executed; the values are those of the wire."""
 
     DONE = "done"
     UNKNOWN = "unknown"
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DispatcherResult:
-    """The result at one dispatcher; `fields` is what the reply has besides name and state."""
+    """The result at one dispatcher; `fields` are the fields of the reply besides name and state."""
 
     name: str
     state: ResultState = ResultState.DONE
@@ -38,20 +38,20 @@
     return DispatcherResult(dispatcher.name, state, {"detail": text})
 
 
-async def ask_each(
-    dispatchers: Iterable[Dispatcher], ask: Callable[[Dispatcher], Awaitable[DispatcherResult]]
+async def call_each(
+    dispatchers: Iterable[Dispatcher], command: Callable[[Dispatcher], Awaitable[DispatcherResult]]
 ) -> list[DispatcherResult]:
-    """Ask all dispatchers at once; one that does not answer is unknown, and delays no other."""
+    """Run a command at all dispatchers concurrently; the result of one that does not answer is unknown."""
 
-    async def ask_one(dispatcher: Dispatcher) -> DispatcherResult:
+    async def call_one(dispatcher: Dispatcher) -> DispatcherResult:
         try:
-            return await ask(dispatcher)
+            return await command(dispatcher)
         except NoAnswerError as error:
             return detail(dispatcher, ResultState.UNKNOWN, str(error))
 
-    return await asyncio.gather(*[ask_one(dispatcher) for dispatcher in dispatchers])
+    return await asyncio.gather(*[call_one(dispatcher) for dispatcher in dispatchers])
 
 
-def reply_of(results: Iterable[DispatcherResult]) -> dict[str, Any]:
+def to_reply(results: Iterable[DispatcherResult]) -> dict[str, Any]:
     """Return results as the reply to a command."""
     return {"dispatchers": [result.to_json() for result in results]}
--- a/dunepulley/agent/rolling_restart.py
+++ b/dunepulley/agent/rolling_restart.py
@@ -1,4 +1,4 @@
-"""A rolling restart: dispatchers are restarted one after the other, and the first failure ends it."""
+"""A rolling restart: dispatchers are restarted one after the other, until the first failure."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class RollingRestart:
-    """Restarts dispatchers, and hands each new process the drains in force."""
+    """Restarts dispatchers, and sends each new process the drains in force."""
 
     def __init__(self, store: DrainStore) -> None:
-        """Hand out the set of `store`."""
+        """Send the set of `store` to new processes."""
         self._store = store
 
     async def run(self, dispatchers: Iterable[Dispatcher], timeout_s: float) -> list[DispatcherResult]:
-        """Restart dispatchers in this order, each within `timeout_s`; after a failure the rest is refused."""
+        """Restart dispatchers in this order, each within `timeout_s`; after a failure refuse the others."""
         results: list[DispatcherResult] = []
         for dispatcher in dispatchers:
             if results and results[-1].state != ResultState.DONE:
--- a/dunepulley/agent/server.py
+++ b/dunepulley/agent/server.py
@@ -1,4 +1,4 @@
-"""The agent's listening socket: one command per connection, answered by the handler of its name."""
+"""The agent's listening socket: each connection carries one command, which its handler answers."""
 
 from __future__ import annotations
 
@@ -22,8 +22,7 @@
 _MAX_CONNECTIONS = 32
 _MAX_SHOWN_COMMAND = 40
 _FLEET_COMMANDS = ("zones", "zone", "meet", "prepare", "accept")
-# Errors whose text is the reply; any other is a fault of the program. Messages that cannot be read raise
-# ValueError.
+# Errors whose text is sent as the reply; any other error is a bug. Malformed messages raise ValueError.
 _REFUSALS = (
     wire.WireError,
     RequestError,
@@ -37,11 +36,11 @@
 class CommandServer:
     """Accepts connections and calls `handlers`, which take a command's message and return the reply.
 
-    `reply_header` returns what every reply begins with.
+    `reply_header` returns the first fields of every reply.
     """
 
     def __init__(self, handlers: Mapping[str, Handler], reply_header: Callable[[], dict[str, Any]]) -> None:
-        """Prepare to serve; `start` listens."""
+        """Create a server; `start` makes it listen."""
         self.port = 0
         self._handlers = handlers
         self._reply_header = reply_header
@@ -51,13 +50,15 @@
     async def start(self, host: str, port: int) -> None:
         """Listen, and set `port` to the port that is used. Raises `AgentConfigError`."""
         try:
-            self._server = await asyncio.start_server(self._serve_client, host, port, limit=wire.LIMIT)
+            self._server = await asyncio.start_server(
+                self._serve_client, host, port, limit=wire.MAX_LINE_BYTES
+            )
         except OSError as error:
-            raise AgentConfigError(f"cannot listen at {host}:{port}: {error.strerror}") from error
+            raise AgentConfigError(f"cannot listen on {host}:{port}: {error.strerror}") from error
         self.port = self._server.sockets[0].getsockname()[1]
 
     def stop_listening(self) -> None:
-        """Accept no more connections; those that are open go on."""
+        """Accept no more connections; open ones stay open."""
         if self._server is not None:
             self._server.close()
 
@@ -75,7 +76,7 @@
         self._connections.add(task)
         try:
             if len(self._connections) > _MAX_CONNECTIONS:
-                writer.write(self._encode({"refused": "too many callers"}))
+                writer.write(self._encode({"refused": "too many connections"}))
                 return
             async with asyncio.timeout(_CLIENT_TIMEOUT_S):
                 line = await reader.readuntil(b"\n")
@@ -83,18 +84,18 @@
             async with asyncio.timeout(_CLIENT_TIMEOUT_S):
                 await writer.drain()
         except (asyncio.IncompleteReadError, asyncio.LimitOverrunError, TimeoutError, OSError):
-            pass  # the client has gone, sent no command, or does not read
+            pass  # the client has disconnected, sent no complete command, or does not read the reply
         finally:
             self._connections.discard(task)
             writer.close()
 
     def _encode(self, reply: dict[str, Any]) -> bytes:
-        return wire.line_of(self._reply_header() | reply)
+        return wire.encode_line(self._reply_header() | reply)
 
     async def _reply_to(self, line: bytes) -> dict[str, Any]:
-        """Carry out a command and return the reply, which says `ok` and, where it was refused, why."""
+        """Execute a command and return the reply with `ok` and, if it was refused, the reason."""
         try:
-            message = wire.read(line, "the tool")
+            message = wire.decode_line(line, "the tool")
             reply = await self._handler_of(message.get("do"))(message)
             states = [result["state"] for result in reply.get("dispatchers", [])]
             reply.setdefault("ok", all([state == ResultState.DONE for state in states]))
@@ -103,10 +104,10 @@
             return _refusal(str(error).replace("\n", " "))
         except Exception as error:
             log.write(LogEvent.FAULT, f"{error!r}")
-            return _refusal("a fault in the agent, see its log")
+            return _refusal("internal error of the agent, see its log")
 
     def _handler_of(self, command: object) -> Handler:
-        """Return the handler of a command. Raises `RequestError` where there is none."""
+        """Return the handler of a command. Raises `RequestError` if there is none."""
         handler = self._handlers.get(str(command))
         if handler is not None:
             return handler
--- a/dunepulley/agent/supervisor.py
+++ b/dunepulley/agent/supervisor.py
@@ -1,4 +1,4 @@
-"""Supervision of the dispatchers of a host: polls each of them, and hands it the drains in force."""
+"""Supervision of the dispatchers of a host: polls each of them, and sends it the drains in force."""
 
 from __future__ import annotations
 
@@ -16,20 +16,23 @@
     """Polls dispatchers; their state is kept by `Dispatcher`."""
 
     def __init__(self, store: DrainStore, distributor: DrainDistributor) -> None:
-        """Hand out the set of `store`, at once whenever `distributor` has changed it."""
+        """Send the set of `store`, immediately after each change by `distributor`."""
         self._store = store
         self._distributor = distributor
 
     async def watch(self, dispatcher: Dispatcher) -> None:
-        """Poll one dispatcher until cancelled; each has a task, so that one that hangs delays no other."""
+        """Poll one dispatcher until cancelled.
+
+        Each dispatcher has a task of its own, so that one that hangs does not delay the others.
+        """
         last_error = dispatcher.last_error
         while True:
-            wanted = self._store.drains
-            await dispatcher.poll(wanted)
+            drains = self._store.drains
+            await dispatcher.poll(drains)
             if dispatcher.process is not None:
                 epoch, _ = dispatcher.process.drain_version
                 await self._store.start_later_epoch(epoch)
             if dispatcher.last_error != last_error:
                 last_error = dispatcher.last_error
                 log.write(LogEvent.DISPATCHER, f"{dispatcher.name}: {last_error or 'answers'}")
-            await self._distributor.wait_for_change(wanted, POLL_S)
+            await self._distributor.wait_for_change(drains, POLL_S)
--- a/dunepulley/control/__init__.py
+++ b/dunepulley/control/__init__.py
@@ -1,19 +1,21 @@
-"""What the agents of many hosts decide in common: who is reachable, and one agreed traffic plan.
+"""The decisions that all agents of a fleet share: cluster membership, one agreed traffic plan, and drains.
 
-Everything here is pure: files, sockets and clocks belong to the agents (`dunepulley.agent`) and to the
-dispatchers (`dunepulley.net`). Times are passed in as milliseconds.
+Nothing in this package does I/O or reads a clock: files, sockets and clocks belong to the agents
+(`dunepulley.agent`) and to the dispatchers (`dunepulley.net`). Times are passed in as milliseconds.
 
 `membership`        which agents are reachable, and which of them leads
 `caspaxos`          acceptor and proposer of the replicated register that holds the plan
-`traffic_plan`      the plan itself: a state for each zone, spillover, operator overrides
-`fleet_view`        what dispatchers observe of zones, merged into one view of the fleet
-`zone_history`      since when each zone has looked as it does
-`zone_transitions`  the next state of one zone, and how much of its traffic is to spill
-`spare_capacity`    sharing the spare slots of healthy zones among those that need them
-`plan_draft`        the zones of the next plan, from all of the above
-`planner`           decides when a new plan is due, and applies operator overrides
-`plan_application`  which endpoints a dispatcher uses under a plan, and when it escapes from it
-`regions`           which zones are near each other: the operators' file
-`drains`            which endpoints operators have taken out of service
-`codec`             all of these as JSON values; `fields` checks single fields
+`traffic_plan`      the plan: the state of each zone, its spillover, and the operator overrides
+`fleet_view`        the dispatchers' observations of zones, merged into one view of the fleet
+`zone_history`      for how long each zone has been lost or overloaded
+`zone_transitions`  the next state of one zone, and the fraction of its traffic to spill over
+`spare_capacity`    divides the spare slots of healthy zones among the zones that need them
+`plan_draft`        the zones of the next plan, computed from the modules above
+`planner`           decides when a new plan is needed, and applies operator overrides
+`plan_application`  which endpoints a dispatcher uses under a plan, and when it falls back to all of them
+`regions`           the operators' file of which zones are near each other
+`drains`            the endpoints that operators have taken out of service
+`drain_json`        the JSON form of drains
+`codec`             the JSON form of all other messages
+`fields`            checks of single fields of decoded JSON or TOML
 """
--- a/dunepulley/control/caspaxos.py
+++ b/dunepulley/control/caspaxos.py
@@ -24,14 +24,14 @@
 
 
 class Ballot(NamedTuple):
-    """The number of a round; of two ballots with one counter, the proposer's name decides."""
+    """The number of a round. Ballots with equal counters are ordered by the proposer's name."""
 
     counter: int = 0
     proposer: str = ""
 
 
 class AcceptorState(NamedTuple):
-    """What an acceptor must not forget."""
+    """The durable state of an acceptor."""
 
     promised: Ballot = Ballot()
     accepted: Ballot = Ballot()
@@ -39,7 +39,10 @@
 
 
 class AcceptorReply(NamedTuple):
-    """An acceptor's reply: whether it granted the request, its promise, and (to prepare) what it accepted."""
+    """An acceptor's reply: whether it granted the request, and the ballot that it has promised.
+
+    A reply to prepare also has the ballot and the value that the acceptor last accepted.
+    """
 
     granted: bool
     promised: Ballot
@@ -48,7 +51,7 @@
 
 
 def prepare(state: AcceptorState, ballot: Ballot) -> tuple[AcceptorState, AcceptorReply]:
-    """Promise to accept nothing older than `ballot`; the state to store before the reply is sent."""
+    """Promise to accept nothing older than `ballot`. Returns the state to store before the reply is sent."""
     if ballot <= state.promised:
         return state, AcceptorReply(False, state.promised)
     state = state._replace(promised=ballot)
@@ -56,7 +59,7 @@
 
 
 def accept(state: AcceptorState, ballot: Ballot, value: bytes) -> tuple[AcceptorState, AcceptorReply]:
-    """Accept a value unless a newer ballot is promised; the state to store before the reply is sent.
+    """Accept a value unless a newer ballot is promised. Returns the state to store before the reply is sent.
 
     A repeated accept is granted again, as the first reply may have been lost.
     """
@@ -66,7 +69,7 @@
 
 
 class ChangeRefusedError(errors.RefusedError):
-    """The change was not made, as the value in the register is not one that it applies to."""
+    """The change was not made because it does not apply to the current value of the register."""
 
 
 class RoundState(StrEnum):
@@ -82,9 +85,9 @@
 class ProposerRound:
     """One attempt to change the register, with one ballot.
 
-    `change` is given the present value and returns the next one, or raises `ChangeRefusedError`. A round that
-    was preempted by a newer ballot, or that got too few replies, may or may not have taken effect: only a
-    later round that reads the register can tell.
+    `change` gets the current value and returns the next one, or raises `ChangeRefusedError`. A round that was
+    preempted by a newer ballot, or that got too few replies, may or may not have taken effect: only a later
+    round that reads the register can tell.
     """
 
     def __init__(self, acceptors: frozenset[str], ballot: Ballot, change: Callable[[bytes], bytes]) -> None:
@@ -102,11 +105,11 @@
 
     @property
     def majority(self) -> int:
-        """How many acceptors decide."""
+        """The number of acceptors that form a majority."""
         return len(self.acceptors) // 2 + 1
 
     def on_promise(self, acceptor: str, reply: AcceptorReply) -> RoundState:
-        """Take in a reply to prepare; the state of the round after it."""
+        """Process an acceptor's reply to prepare, and return the new state of the round."""
         if acceptor not in self.acceptors or self.state != RoundState.PREPARING:
             return self.state
         if not reply.granted:
@@ -117,7 +120,7 @@
         return self.state
 
     def on_accepted(self, acceptor: str, reply: AcceptorReply) -> RoundState:
-        """Take in a reply to accept; the state of the round after it."""
+        """Process an acceptor's reply to accept, and return the new state of the round."""
         if acceptor not in self.acceptors or self.state != RoundState.ACCEPTING:
             return self.state
         if not reply.granted:
@@ -138,7 +141,8 @@
 
     def _on_rejection(self, reply: AcceptorReply) -> RoundState:
         self.newest_ballot = max(self.newest_ballot, reply.promised)
-        # The round's own ballot is a late reply to an earlier copy of its request, not a newer round.
+        # A rejection that names this round's own ballot answers an earlier copy of its request, and is no
+        # sign of a newer round.
         if reply.promised > self.ballot:
             self.state = RoundState.PREEMPTED
         return self.state
--- a/dunepulley/control/codec.py
+++ b/dunepulley/control/codec.py
@@ -1,7 +1,8 @@
-"""The messages of this package as JSON values: the names on the wire and in files are in this module alone.
+"""Converts the messages of this package to and from JSON values.
 
-`encode_*` gives a value for a JSON encoder. `decode_*` checks a decoded value as a whole and raises
-`ProtocolError`, which is a `ValueError`, on anything that is not exactly such a message.
+The JSON keys of all messages except drains (`drain_json`) are defined here. `encode_*` returns a value for a
+JSON encoder. `decode_*` validates a decoded value and raises `ProtocolError`, which is a `ValueError`, if any
+part of it is missing or has the wrong type or range.
 """
 
 from __future__ import annotations
@@ -14,10 +15,10 @@
     MAX_COUNT,
     parse_count,
     parse_duration,
-    parse_figure,
-    parse_figures,
     parse_fraction,
     parse_name,
+    parse_number,
+    parse_numbers,
     parse_object,
     parse_objects,
     parse_text,
@@ -40,7 +41,7 @@
 
 MAX_OPERATOR_LENGTH = 64
 MAX_REASON_LENGTH = 200
-# Fractions are rounded, so their sum may be a little over one.
+# Fractions are rounded, so their sum may slightly exceed 1.
 MAX_FRACTION_SUM = 1.0001
 
 _ZoneMessage = TypeVar("_ZoneMessage", ZoneCounters, Observation)
@@ -50,22 +51,22 @@
 
 
 def encode_ballot(ballot: Ballot) -> list[Any]:
-    """A ballot as [counter, proposer]."""
+    """Encode a ballot as [counter, proposer]."""
     return list(ballot)
 
 
 def decode_ballot(value: Any) -> Ballot:
-    """A ballot from [counter, proposer]."""
+    """Decode a ballot from [counter, proposer]."""
     if not isinstance(value, list) or len(value) != 2 or not isinstance(value[1], str):
-        raise ProtocolError("a ballot is no pair")
+        raise ProtocolError(f"ballot: expected [counter, proposer], got {type(value).__name__}")
     counter, proposer = value
     if not is_number(counter) or isinstance(counter, float) or not 0 <= counter < MAX_COUNT:
-        raise ProtocolError(f"a ballot counts {counter!r}")
+        raise ProtocolError(f"ballot: counter: expected an integer from 0 to 2**53, got {counter!r:.60}")
     return Ballot(counter, proposer)
 
 
 def encode_reply(reply: AcceptorReply) -> dict[str, Any]:
-    """An acceptor's reply."""
+    """Encode an acceptor's reply."""
     return {
         "yes": reply.granted,
         "promised": encode_ballot(reply.promised),
@@ -75,18 +76,18 @@
 
 
 def decode_reply(value: Mapping[str, Any]) -> AcceptorReply:
-    """An acceptor's reply."""
+    """Decode an acceptor's reply."""
     granted = value.get("yes")
     if not isinstance(granted, bool) or not isinstance(value.get("value"), str):
-        raise ProtocolError("a voter's answer makes no sense")
+        raise ProtocolError("acceptor reply: expected a boolean under 'yes' and a string under 'value'")
     promised, accepted = decode_ballot(value.get("promised")), decode_ballot(value.get("accepted"))
     return AcceptorReply(granted, promised, accepted, decode_register_value(value["value"]))
 
 
 def decode_register_value(value: Any) -> bytes:
-    """A value of the register, which is sent as a text."""
+    """Decode a value of the register, which is sent as a JSON string."""
     if not isinstance(value, str) or len(value) > MAX_VALUE_LENGTH:
-        raise ProtocolError("the register's value is no text, or too long")
+        raise ProtocolError(f"register value: expected a string of at most {MAX_VALUE_LENGTH} characters")
     return value.encode()
 
 
@@ -94,7 +95,7 @@
 
 
 def encode_plan(plan: Plan) -> dict[str, Any]:
-    """A whole plan."""
+    """Encode a whole plan."""
     return {
         "epoch": plan.epoch,
         "number": plan.number,
@@ -106,7 +107,7 @@
 
 
 def encode_zone(zone: ZonePlan) -> dict[str, Any]:
-    """One zone of a plan."""
+    """Encode one zone of a plan."""
     return {
         "name": zone.name,
         "state": zone.state.value,
@@ -116,7 +117,7 @@
 
 
 def encode_override(override: OperatorOverride) -> dict[str, Any]:
-    """One operator override of a plan; null for one without an end."""
+    """Encode one operator override of a plan; `left` is null if it does not expire."""
     return {
         "zone": override.zone,
         "what": override.action.value,
@@ -127,9 +128,9 @@
 
 
 def decode_plan(value: Any) -> Plan:
-    """A whole plan."""
+    """Decode a whole plan."""
     if not isinstance(value, dict):
-        raise ProtocolError("the plan is no map")
+        raise ProtocolError(f"plan: expected an object, got {type(value).__name__}")
     plan = Plan(
         parse_count(value.get("epoch"), "epoch"),
         parse_count(value.get("number"), "number"),
@@ -141,7 +142,7 @@
     zones = [zone.name for zone in plan.zones]
     overridden = [override.zone for override in plan.overrides]
     if len(set(zones)) < len(zones) or len(set(overridden)) < len(overridden):
-        raise ProtocolError("a zone stands there twice")
+        raise ProtocolError("plan: a zone is listed twice in 'zones' or in 'words'")
     return plan
 
 
@@ -152,32 +153,36 @@
     try:
         state = ZoneState(state_text)
     except ValueError as error:
-        raise ProtocolError(f"zone {name}: state is {state_text!r}") from error
+        raise ProtocolError(
+            f"zone {name}: state: expected one of {', '.join(ZoneState)}, got {state_text!r:.60}"
+        ) from error
     if not isinstance(over, list) or len(over) > MAX_ZONES:
-        raise ProtocolError(f"zone {name}: over is no list of at most {MAX_ZONES}")
+        raise ProtocolError(f"zone {name}: over: expected a list of at most {MAX_ZONES} elements")
     spillover = tuple([_decode_spillover(each) for each in over])
     zone = ZonePlan(name, state, spillover, parse_text(value.get("why", ""), "why", MAX_REASON_LENGTH))
     targets = [each.zone for each in spillover]
     repeated = len(set(targets)) < len(targets)
     if name in targets or repeated or zone.spilled_fraction() > MAX_FRACTION_SUM:
-        raise ProtocolError(f"zone {name}: what goes over makes no sense")
+        raise ProtocolError(
+            f"zone {name}: over: expected other zones, each once, with fractions that sum to at most 1"
+        )
     return zone
 
 
 def _decode_spillover(value: Any) -> Spillover:
     if not isinstance(value, list) or len(value) != 3:
-        raise ProtocolError("over is no list of zone, part and grant")
+        raise ProtocolError(f"over: expected [zone, fraction, grant], got {type(value).__name__}")
     zone, fraction, grant = value
     return Spillover(
-        parse_name(zone, "zone"), parse_fraction(fraction, "part"), parse_fraction(grant, "grant")
+        parse_name(zone, "zone"), parse_fraction(fraction, "fraction"), parse_fraction(grant, "grant")
     )
 
 
 def decode_override(value: Mapping[str, Any]) -> OperatorOverride:
-    """An operator override of a plan."""
+    """Decode an operator override of a plan."""
     action = value.get("what")
     if action not in STANDING_ACTIONS:
-        raise ProtocolError(f"what is {action!r}, none of {', '.join(STANDING_ACTIONS)}")
+        raise ProtocolError(f"what: expected one of {', '.join(STANDING_ACTIONS)}, got {action!r:.60}")
     remaining = value.get("left")
     return OperatorOverride(
         parse_name(value.get("zone"), "zone"),
@@ -189,19 +194,19 @@
 
 
 def decode_plan_version(value: Any) -> PlanVersion:
-    """A plan's version from [epoch, number]."""
+    """Decode a plan's version from [epoch, number]."""
     if not isinstance(value, list) or len(value) != 2:
-        raise ProtocolError("a plan's age is no pair")
-    if any([isinstance(part, bool) or not isinstance(part, int) for part in value]):
-        raise ProtocolError("a plan's age holds no counts")
+        raise ProtocolError(f"plan version: expected [epoch, number], got {type(value).__name__}")
+    if any([isinstance(element, bool) or not isinstance(element, int) for element in value]):
+        raise ProtocolError("plan version: expected two integers")
     return value[0], value[1]
 
 
-# ---------------------------------------------------------------- what is observed
+# ---------------------------------------------------------------- observations
 
 
 def encode_report(report: DispatcherReport) -> dict[str, Any]:
-    """A dispatcher's report."""
+    """Encode a dispatcher's report."""
     return {
         "name": report.name,
         "home": report.home_zone,
@@ -216,12 +221,12 @@
 
 
 def decode_report(value: Any) -> DispatcherReport:
-    """A dispatcher's report."""
+    """Decode a dispatcher's report."""
     if not isinstance(value, dict):
-        raise ProtocolError("a report is no map")
+        raise ProtocolError(f"report: expected an object, got {type(value).__name__}")
     version = value.get("plan")
     if not isinstance(version, list) or len(version) != 2:
-        raise ProtocolError("plan is no pair")
+        raise ProtocolError(f"report: plan: expected [epoch, number], got {type(version).__name__}")
     return DispatcherReport(
         name=parse_name(value.get("name"), "name"),
         home_zone=parse_name(value.get("home"), "home"),
@@ -229,22 +234,24 @@
         mode=parse_name(value.get("how"), "how"),
         plan_version=(parse_count(version[0], "epoch"), parse_count(version[1], "number")),
         escapes=parse_count(value.get("escapes"), "escapes"),
-        work_slot_ms=parse_figure(value.get("work"), "work"),
-        rejected=parse_figure(value.get("refused"), "refused"),
-        zones=_decode_zone_figures(value.get("zones"), ZoneCounters),
+        work_slot_ms=parse_number(value.get("work"), "work"),
+        rejected=parse_number(value.get("refused"), "refused"),
+        zones=_decode_zone_numbers(value.get("zones"), ZoneCounters),
     )
 
 
-def _decode_zone_figures(value: Any, message: type[_ZoneMessage]) -> dict[str, _ZoneMessage]:
-    """Messages by zone, each from a list of its figures."""
+def _decode_zone_numbers(value: Any, message_type: type[_ZoneMessage]) -> dict[str, _ZoneMessage]:
+    """Messages of one type by zone name, each decoded from the list of its fields."""
     return {
-        parse_name(name, "zone"): message(*parse_figures(figures, f"zone {name[:64]}", len(message._fields)))
-        for name, figures in parse_object(value, "zones", MAX_ZONES).items()
+        parse_name(name, "zone"): message_type(
+            *parse_numbers(numbers, f"zone {name[:64]}", len(message_type._fields))
+        )
+        for name, numbers in parse_object(value, "zones", MAX_ZONES).items()
     }
 
 
 def encode_placements(placements: Mapping[str, PlacementReport]) -> dict[str, Any]:
-    """What the dispatchers of a host observed, by the zone that they are placed in."""
+    """Encode the observations of a host's dispatchers, by the zone in which they are placed."""
     return {
         zone: {
             "dispatchers": placement.dispatchers,
@@ -257,24 +264,27 @@
 
 
 def decode_placements(value: Any) -> dict[str, PlacementReport]:
-    """What the dispatchers of a host observed, by the zone that they are placed in."""
+    """Decode the observations of a host's dispatchers, by the zone in which they are placed."""
     placements = parse_object(value, "homes", MAX_ZONES)
     return {parse_name(zone, "zone"): _decode_placement(each) for zone, each in placements.items()}
 
 
 def _decode_placement(value: Any) -> PlacementReport:
     if not isinstance(value, dict):
-        raise ProtocolError("a home is no map")
+        raise ProtocolError(f"homes: expected an object for each zone, got {type(value).__name__}")
     return PlacementReport(
-        parse_figure(value.get("dispatchers"), "dispatchers"),
-        parse_figure(value.get("demand"), "demand"),
-        parse_figure(value.get("refused"), "refused"),
-        _decode_zone_figures(value.get("zones"), Observation),
+        parse_number(value.get("dispatchers"), "dispatchers"),
+        parse_number(value.get("demand"), "demand"),
+        parse_number(value.get("refused"), "refused"),
+        _decode_zone_numbers(value.get("zones"), Observation),
     )
 
 
 def decode_heartbeat_ages(value: Any) -> dict[str, float]:
-    """How many ms before a heartbeat its sender had heard of each other; what is no such time is left out."""
+    """How many ms before a heartbeat its sender last heard from each other member.
+
+    Elements that are not numbers from 0 on are skipped.
+    """
     if not isinstance(value, dict):
         return {}
     return {name: float(age) for name, age in value.items() if is_number(age) and age >= 0.0}
--- a/dunepulley/control/drain_json.py
+++ b/dunepulley/control/drain_json.py
@@ -1,10 +1,10 @@
-"""The JSON form of drains, alike on the wire, in the agent's file and in a hot restart.
+"""The JSON form of drains, the same on the wire, in the agent's file and in a hot restart.
 
 Each drain is an object with the keys `what`, `name`, `by`, `why`, `since`, `until` and `revision`. Where a
-drain expires and the writer has a clock, the form also has `left`, the ms until it expires, and the set a
-`stamp` of the moment at which that was so; a reader goes by these, so that a step of the wall clock between
-writing and reading neither prolongs nor cuts a drain. `until`, in Unix ms or null, is for people and for
-readers of older versions, which know no `left`. All functions that read raise `ProtocolError`.
+drain expires and the writer has a clock, the drain also has `left`, the ms until it expires, and the set has
+a `stamp` of the moment at which `left` was computed. Readers use these two, so that a step of the wall clock
+between writing and reading neither prolongs nor shortens a drain. `until`, in Unix ms or null, is for people
+and for readers of older versions, which do not read `left`. All functions that decode raise `ProtocolError`.
 """
 
 from __future__ import annotations
@@ -27,16 +27,16 @@
 from dunepulley.errors import ProtocolError
 
 MAX_LENGTHS = {"name": 128, "by": 64, "why": 200}
-"""The most characters that the text under a key may have."""
+"""The maximum length in characters of the text under each key."""
 
-# Expired drains may stand beside those in force until the next change.
+# Expired drains may remain in the list beside those in force until the next change.
 _MAX_LISTED = 2 * MAX_DRAINS
 
 _Item = TypeVar("_Item")
 
 
 def encode_drain_set(drains: DrainSet, clock: Clock | None = None) -> dict[str, Any]:
-    """Return a set as a JSON object; without a clock with `until` alone, as older versions wrote it."""
+    """Return a set as a JSON object; without a clock only with `until`, as older versions wrote it."""
     encoded: dict[str, Any] = {}
     listed = [_encode_drain(drain) for drain in drains.drains]
     if clock is not None and any([drain.expires_ms != INFINITY for drain in drains.drains]):
@@ -52,9 +52,9 @@
 
 
 def decode_drain_set(value: Any, clock: Clock | None = None) -> DrainSet:
-    """Return the set of a JSON value, its expiries by `clock`; without one they are `until` as it stands."""
+    """Return the set of a JSON value, with expiries by `clock`, or `until` unchanged without one."""
     if not isinstance(value, dict):
-        raise ProtocolError("the set is no map")
+        raise ProtocolError(f"drain set: expected an object, got {type(value).__name__}")
     stamp = parse_stamp(value.get("stamp"))
     return DrainSet(
         _parse_number(value.get("epoch"), "epoch"),
@@ -72,7 +72,7 @@
     The keys `why`, `since`, `until` and `revision` may be missing.
     """
     if not isinstance(value, dict):
-        raise ProtocolError("a drain is no map")
+        raise ProtocolError(f"drain: expected an object, got {type(value).__name__}")
     target_kind = _parse_target_kind(value.get("what"))
     target = parse_text(value.get("name"), "name")
     if not target:
@@ -99,11 +99,14 @@
 
 
 def parse_stamp(value: Any) -> Stamp | None:
-    """Return the stamp of a JSON value, or None where it holds none: an older version wrote it."""
+    """Return the stamp of a JSON value, or None if it is missing or malformed.
+
+    Older versions write no stamp.
+    """
     if not isinstance(value, dict) or not isinstance(value.get("boot"), str):
         return None
     monotonic, wall = value.get("monotonic"), value.get("wall")
-    if not fields.is_figure(monotonic) or not fields.is_figure(wall):
+    if not fields.is_non_negative_number(monotonic) or not fields.is_non_negative_number(wall):
         return None
     return Stamp(value["boot"], float(monotonic), float(wall))
 
@@ -115,14 +118,14 @@
         "by": drain.operator,
         "why": drain.reason,
         "since": drain.started_ms,
-        # Infinity is no number of JSON.
+        # JSON cannot represent infinity.
         "until": None if drain.expires_ms == INFINITY else drain.expires_ms,
         "revision": drain.revision,
     }
 
 
 def _encode_timed(drain: Drain, now_ms: float, clock: Clock) -> dict[str, Any]:
-    """Return a drain with the time left until it expires, if it does."""
+    """Return a drain as a JSON object, with the time left if it expires."""
     if drain.expires_ms == INFINITY:
         return _encode_drain(drain)
     until_ms = max(0.0, clock.to_wall_ms(drain.expires_ms))
@@ -140,13 +143,13 @@
 
 def _decode_ended(value: Any) -> EndedDrain:
     if not isinstance(value, dict):
-        raise ProtocolError("what ended is no map")
-    how = value.get("how")
-    if how not in tuple(EndReason):
-        raise ProtocolError(f"how is {how!r}")
+        raise ProtocolError(f"ended: expected a list of objects, found {type(value).__name__} in it")
+    reason = value.get("how")
+    if reason not in tuple(EndReason):
+        raise ProtocolError(f"how: expected one of {', '.join(EndReason)}, got {reason!r:.60}")
     ended_ms = _parse_number(value.get("at"), "at")
     drain = decode_drain(value.get("drain"))
-    return EndedDrain(drain, ended_ms, parse_text(value.get("by"), "by"), EndReason(how))
+    return EndedDrain(drain, ended_ms, parse_text(value.get("by"), "by"), EndReason(reason))
 
 
 def _decode_expiry(value: dict[str, Any], clock: Clock | None, stamp: Stamp | None) -> float:
@@ -170,12 +173,12 @@
 
 
 def _parse_number(value: Any, key: str) -> float:
-    if not fields.is_figure(value):
-        raise ProtocolError(f"{key} is {value!r}, no time or number")
+    if not fields.is_non_negative_number(value):
+        raise ProtocolError(f"{key}: expected a number from 0 on, got {value!r:.60}")
     return float(value)
 
 
 def _parse_list(value: Any, max_length: int, parse: Callable[[Any], _Item], key: str) -> tuple[_Item, ...]:
     if not isinstance(value, list) or len(value) > max_length:
-        raise ProtocolError(f"{key} is no list of at most {max_length}")
+        raise ProtocolError(f"{key}: expected a list of at most {max_length} elements")
     return tuple([parse(item) for item in value])
--- a/dunepulley/control/drains.py
+++ b/dunepulley/control/drains.py
@@ -1,12 +1,12 @@
 """Operator drains of endpoints: what each covers, when it expires, and who may change it.
 
 A drain keeps new requests away from one endpoint, from a zone, or from a kind of endpoint, while requests in
-flight there complete (a graceful shutdown). A `DrainSet` holds all drains at one revision; every change makes
-a new set with the next revision. Nothing in this module does I/O or reads a clock.
+flight there complete (a graceful shutdown). A `DrainSet` holds all drains at one revision; every change
+creates a new set with the next revision. Nothing in this module does I/O or reads a clock.
 
-Times are milliseconds. `now_ms` and `expires_ms` are by the `Clock` of the process, which no step of the
-wall clock moves; `started_ms` and `ended_ms` are what the wall clock showed, for people to read. The JSON
-form of a set is in `drain_json`.
+Times are milliseconds. `now_ms` and `expires_ms` are by the `Clock` of the process, which is unaffected by
+steps of the wall clock; `started_ms` and `ended_ms` are wall clock times, for people to read. The JSON form
+of a set is in `drain_json`.
 """
 
 from __future__ import annotations
@@ -23,21 +23,21 @@
 """The expiry of a drain that lasts until an operator restores its target."""
 
 MAX_DRAINS = 100
-"""Drains in force at one time. With names of bounded length, a set of so many fits one admin command."""
+"""The maximum number of drains in force. With names of bounded length, such a set fits one admin command."""
 
 MAX_ENDED = 50
-"""Ended drains that are kept as a record for operators."""
+"""The number of ended drains that are kept as a record for operators."""
 
 ANY_CLASS = "any work"
-"""What `unserved_classes` reports where no endpoint at all would be ready."""
+"""The element that `unserved_classes` returns if no endpoint at all would be ready."""
 
 
 class DrainRefusedError(errors.RefusedError):
-    """A change conflicts with the drains in force; the text says how, in one line."""
+    """A change conflicts with the drains in force; the text gives the conflict in one line."""
 
 
 class TargetKind(StrEnum):
-    """What a drain names. The values are those of the stored and the wire form."""
+    """The kind of target of a drain. The values are those of the stored and the wire form."""
 
     ENDPOINT = "worker"
     ZONE = "zone"
@@ -53,7 +53,7 @@
 
 
 class Drain(NamedTuple):
-    """One drain; `revision` is that of the set in which it first stood."""
+    """One drain; `revision` is that of the first set that contained it."""
 
     target_kind: TargetKind
     target: str
@@ -68,7 +68,7 @@
         return self.expires_ms > now_ms
 
     def covers(self, entry: EndpointEntry) -> bool:
-        """Return whether an endpoint is drained by this."""
+        """Return whether this drain applies to an endpoint."""
         if self.target_kind == TargetKind.ENDPOINT:
             return entry.endpoint_id == self.target
         if self.target_kind == TargetKind.ZONE:
@@ -82,7 +82,7 @@
 
 
 class EndedDrain(NamedTuple):
-    """A drain that is no longer in force; `operator` is empty where it expired."""
+    """A drain that is no longer in force; `operator` is empty if it expired."""
 
     drain: Drain
     ended_ms: float
@@ -93,8 +93,8 @@
 class DrainSet(NamedTuple):
     """All drains at one revision, and the last `MAX_ENDED` that have ended.
 
-    Expired drains may still stand in `drains`; the next change moves them to `ended`. An agent that lost its
-    file begins a new epoch, so that its set replaces those of earlier epochs although revisions start anew.
+    `drains` may still contain expired drains; the next change moves them to `ended`. An agent that lost its
+    file begins a new epoch, so that its set replaces those of earlier epochs although revisions restart at 0.
     """
 
     epoch: float = 0.0
@@ -116,7 +116,7 @@
         return [drain for drain in self.drains if drain.in_force(now_ms) and drain.covers(entry)]
 
     def state_of(self, entry: EndpointEntry, now_ms: float) -> str:
-        """Return an endpoint's state with drains applied: one that is ready and drained is draining."""
+        """Return an endpoint's state with drains applied: a ready endpoint that is drained is draining."""
         if entry.state == EndpointState.READY and self.covering(entry, now_ms):
             return EndpointState.DRAINING
         return entry.state
@@ -126,7 +126,7 @@
         return min([drain.expires_ms for drain in self.in_force(now_ms)], default=INFINITY)
 
     def find(self, target_kind: TargetKind, target: str, now_ms: float) -> Drain | None:
-        """Return the drain in force of exactly this target, if there is one."""
+        """Return the drain in force of exactly this target, or None."""
         for drain in self.in_force(now_ms):
             if (drain.target_kind, drain.target) == (target_kind, target):
                 return drain
@@ -136,23 +136,23 @@
 def set_drain(
     drains: DrainSet, drain: Drain, now_ms: float, over_revision: int = 0, wall_ms: float | None = None
 ) -> DrainSet:
-    """Return the next set, with a drain added or put in place of the one of the same target.
+    """Return the next set, with a drain added, or replacing the drain of the same target.
 
     `over_revision` is the revision of another operator's drain that this one may replace, 0 for none.
-    `wall_ms` is what the wall clock shows, where that is not `now_ms`. Raises `DrainRefusedError` where
-    another operator's drain is in force, or `MAX_DRAINS` are.
+    `wall_ms` is the wall clock time, by default `now_ms`. Raises `DrainRefusedError` where another operator's
+    drain of the target is in force, or `MAX_DRAINS` drains are in force.
     """
-    shown_ms = now_ms if wall_ms is None else wall_ms
-    present = drains.find(drain.target_kind, drain.target, now_ms)
-    _check_may_change(present, drain.operator, over_revision)
-    if present is None and len(drains.in_force(now_ms)) >= MAX_DRAINS:
-        raise DrainRefusedError(f"there are {MAX_DRAINS} drains already")
-    added = drain._replace(started_ms=shown_ms, revision=drains.revision + 1)
-    following = _without_expired(drains, now_ms, shown_ms)
-    if present is not None:
-        ended = EndedDrain(present, shown_ms, drain.operator, EndReason.REPLACED)
-        following = _without(following, ended)
-    return following._replace(drains=(*following.drains, added))
+    wall_now_ms = now_ms if wall_ms is None else wall_ms
+    existing = drains.find(drain.target_kind, drain.target, now_ms)
+    _check_may_change(existing, drain.operator, over_revision)
+    if existing is None and len(drains.in_force(now_ms)) >= MAX_DRAINS:
+        raise DrainRefusedError(f"{MAX_DRAINS} drains are in force already, which is the maximum")
+    added = drain._replace(started_ms=wall_now_ms, revision=drains.revision + 1)
+    next_set = _without_expired(drains, now_ms, wall_now_ms)
+    if existing is not None:
+        ended = EndedDrain(existing, wall_now_ms, drain.operator, EndReason.REPLACED)
+        next_set = _without(next_set, ended)
+    return next_set._replace(drains=(*next_set.drains, added))
 
 
 def restore(
@@ -166,19 +166,19 @@
 ) -> DrainSet:
     """Return the next set, without the drain of a target; arguments and errors are those of `set_drain`.
 
-    Raises `DrainRefusedError` also where no drain of the target is in force.
+    Raises `DrainRefusedError` also if no drain of the target is in force.
     """
-    shown_ms = now_ms if wall_ms is None else wall_ms
-    present = drains.find(target_kind, target, now_ms)
-    _check_may_change(present, operator, over_revision)
-    if present is None:
+    wall_now_ms = now_ms if wall_ms is None else wall_ms
+    existing = drains.find(target_kind, target, now_ms)
+    _check_may_change(existing, operator, over_revision)
+    if existing is None:
         raise DrainRefusedError(f"no drain of {target_kind} {target} stands")
-    ended = EndedDrain(present, shown_ms, operator, EndReason.RESTORED)
-    return _without(_without_expired(drains, now_ms, shown_ms), ended)
+    ended = EndedDrain(existing, wall_now_ms, operator, EndReason.RESTORED)
+    return _without(_without_expired(drains, now_ms, wall_now_ms), ended)
 
 
 def shift_expiries(drains: DrainSet, offset_ms: float) -> DrainSet:
-    """Return the same set for a clock that is ahead of the present one by `offset_ms`."""
+    """Return the same set for a clock that is `offset_ms` ahead of the one that the expiries are by."""
     shifted = [drain._replace(expires_ms=drain.expires_ms + offset_ms) for drain in drains.drains]
     return drains._replace(drains=tuple(shifted))
 
@@ -186,9 +186,9 @@
 def unserved_classes(
     drains: DrainSet, entries: Iterable[EndpointEntry], kind_by_class: Mapping[str, str], now_ms: float
 ) -> list[str]:
-    """Return the request classes that no ready endpoint would serve, or `[ANY_CLASS]` where none is ready.
+    """Return the request classes that no ready endpoint would serve, or `[ANY_CLASS]` if none is ready.
 
-    `kind_by_class` has the kind of endpoint that each class requires, empty where any kind serves it.
+    `kind_by_class` maps each class to the kind of endpoint that it requires, empty for any kind.
     """
     ready_kinds = {entry.kind for entry in entries if drains.state_of(entry, now_ms) == EndpointState.READY}
     if not ready_kinds:
@@ -196,20 +196,20 @@
     return [name for name, kind in kind_by_class.items() if kind and kind not in ready_kinds]
 
 
-def _check_may_change(present: Drain | None, operator: str, over_revision: int) -> None:
-    """Let operators change their own drains, and others' only by naming the revision to be replaced."""
-    if over_revision and (present is None or present.revision != over_revision):
-        found = "none stands" if present is None else f"there is {present.describe()}"
-        raise DrainRefusedError(f"nothing of revision {over_revision} is there to go: {found}")
-    if present is not None and present.operator != operator and not over_revision:
+def _check_may_change(existing: Drain | None, operator: str, over_revision: int) -> None:
+    """Refuse a change of another operator's drain, unless `over_revision` is the revision of that drain."""
+    if over_revision and (existing is None or existing.revision != over_revision):
+        found = "none is in force" if existing is None else f"in force is {existing.describe()}"
+        raise DrainRefusedError(f"no drain of revision {over_revision} to replace: {found}")
+    if existing is not None and existing.operator != operator and not over_revision:
         raise DrainRefusedError(
-            f"another's stands: {present.describe()}; --over {present.revision} replaces it"
+            f"another's stands: {existing.describe()}; --over {existing.revision} replaces it"
         )
 
 
-def _without_expired(drains: DrainSet, now_ms: float, shown_ms: float) -> DrainSet:
-    """Return the next set, with expired drains moved to the record at their expiry by the wall clock."""
-    offset_ms = shown_ms - now_ms
+def _without_expired(drains: DrainSet, now_ms: float, wall_now_ms: float) -> DrainSet:
+    """Return the next set, with expired drains moved to `ended` at their expiry by the wall clock."""
+    offset_ms = wall_now_ms - now_ms
     expired = [
         EndedDrain(drain, drain.expires_ms + offset_ms, "", EndReason.EXPIRED)
         for drain in drains.drains
@@ -224,6 +224,6 @@
 
 
 def _without(drains: DrainSet, ended: EndedDrain) -> DrainSet:
-    """Return a set of the same revision, with one drain moved to the record."""
+    """Return a set of the same revision, with one drain moved to `ended`."""
     remaining = [drain for drain in drains.drains if drain != ended.drain]
     return drains._replace(drains=tuple(remaining), ended=(*drains.ended, ended)[-MAX_ENDED:])
--- a/dunepulley/control/fleet_view.py
+++ b/dunepulley/control/fleet_view.py
@@ -1,9 +1,9 @@
-"""What dispatchers report of zones, and the view of the whole fleet that each agent makes of it.
+"""The dispatchers' reports about zones, and the view of the whole fleet that each agent builds from them.
 
-A dispatcher reports counters that only grow and gauges of now (`DispatcherReport`). Its agent keeps the last
-few (`ReportWindow`) and sends the other agents what its dispatchers of each zone observed lately
-(`PlacementReport`). From those of all hosts every agent builds the same kind of view (`FleetView`). All of it
-is bounded: by zones, by dispatchers of a host, and by time.
+A dispatcher reports monotonic counters and gauges (`DispatcherReport`). Its agent keeps the most recent
+reports (`ReportWindow`) and sends the other agents a summary of what its dispatchers in each zone observed
+recently (`PlacementReport`). From the summaries of all hosts every agent builds a `FleetView`. All of these
+are bounded by the number of zones, the number of dispatchers on a host, and time.
 
 Times are ms of one host's steady clock.
 """
@@ -17,24 +17,25 @@
 from dunepulley.control.regions import MAX_ZONES
 from dunepulley.control.traffic_plan import PlanVersion
 
-# Counters are compared over so long: two heartbeats of agents, so that a loss soon is most of what is seen.
+# Counters are compared over this window: two heartbeats of agents, short enough that after the loss of a zone
+# most of the window soon shows it.
 WINDOW_MS = 1000.0
-# The least span that a rate is computed over; over less, arrivals are chance.
+# The shortest span over which a rate is computed; over shorter ones random arrivals dominate.
 MIN_RATE_SPAN_MS = 500.0
-# Reports older than this are not used: ten heartbeats.
+# Reports older than ten heartbeats are not used.
 STALE_MS = 5000.0
-# A zone is lost where more than this part of its attempts or of its endpoints fails.
+# A zone is considered lost if more than this fraction of its attempts, or of its endpoints, fails.
 LOST_FRACTION = 0.5
-# Fewer attempts than this say nothing of a zone.
+# With fewer attempts than this, a zone's failure rate is not meaningful.
 MIN_ATTEMPTS = 3
 
 
 class ZoneCounters(NamedTuple):
-    """One zone as one dispatcher sees it: the endpoints that its list has as ready, and how they are.
+    """One zone as one dispatcher sees it: the endpoints that its list has as ready, and their load.
 
-    `slots` and `warm_slots` count endpoints that are not ejected, of kinds whose slots are known;
-    `warm_slots` is the part that slow start lets them use. `attempts` and `lost_attempts` only grow: attempts
-    that ended, and those of them that reached nobody.
+    `slots` and `warm_slots` are summed over the endpoints that are not ejected and whose number of slots is
+    known; `warm_slots` are the slots that slow start lets them use. `attempts` and `lost_attempts` are
+    monotonic counters of the attempts that ended, and of those that no endpoint answered.
     """
 
     endpoints: float = 0.0
@@ -49,8 +50,9 @@
 class DispatcherReport(NamedTuple):
     """One dispatcher's report.
 
-    `process_id` tells a restarted dispatcher; `mode` is a `plan_application.FollowerMode`, or one of a newer
-    version. `work_slot_ms` (slots times ms of the requests taken) and `rejected` (requests) only grow.
+    `process_id` changes when the dispatcher restarts; `mode` is a `plan_application.FollowerMode`, or a mode
+    of a newer version. `work_slot_ms` (slots times ms of the accepted requests) and `rejected` (requests) are
+    monotonic counters.
     """
 
     name: str
@@ -65,10 +67,11 @@
 
 
 class Observation(NamedTuple):
-    """One zone, as a group of dispatchers observed it lately.
+    """One zone, as a group of dispatchers observed it recently.
 
-    `endpoints`, `slots` and `warm_slots` are the most that any of them sees. `ejected` is the sum, over the
-    `observers` that can tell, of the part of the endpoints that each has ejected. The rest are sums.
+    `endpoints`, `slots` and `warm_slots` are the maximum over the dispatchers. `observers` is the number of
+    dispatchers that sent requests to the zone or have ejected endpoints there; `ejected` is the sum, over
+    these, of the fraction of the endpoints that each has ejected. The other fields are sums.
     """
 
     endpoints: float = 0.0
@@ -81,7 +84,7 @@
     lost_attempts: float = 0.0
 
     def merged(self, other: Observation) -> Observation:
-        """What both groups of dispatchers observed."""
+        """The observation of both groups of dispatchers together."""
         return Observation(
             max(self.endpoints, other.endpoints),
             max(self.slots, other.slots),
@@ -94,27 +97,27 @@
         )
 
     def loses_attempts(self) -> bool:
-        """Whether most of the recent attempts reached nobody."""
+        """Whether most of the recent attempts got no answer from an endpoint."""
         return self.attempts >= MIN_ATTEMPTS and self.lost_attempts > LOST_FRACTION * self.attempts
 
     def healthy_fraction(self) -> float:
-        """The part of the attempts that reach an endpoint, or of the endpoints that are not ejected."""
+        """The fraction of attempts that reach an endpoint, or of endpoints not ejected if that is smaller."""
         if not self.endpoints:
             return 0.0
         lost = self.lost_attempts / self.attempts if self.attempts >= MIN_ATTEMPTS else 0.0
         return 1.0 - max(lost, self.ejected / self.observers if self.observers else 0.0)
 
     def looks_lost(self) -> bool:
-        """Whether most attempts reach nobody, or most endpoints are ejected."""
+        """Whether most attempts get no answer, or most endpoints are ejected."""
         most_ejected = self.observers > 0.0 and self.ejected > LOST_FRACTION * self.observers
         return self.loses_attempts() or most_ejected
 
 
 class PlacementReport(NamedTuple):
-    """What the dispatchers that are placed in one zone of one host observed lately.
+    """The recent observations of the dispatchers of one host that are placed in one zone.
 
-    `demand` is the slots that their requests occupy, `rejected_per_s` the requests that they rejected;
-    `zones` has what they observed of each zone.
+    `demand` is the number of slots that their requests occupy, `rejected_per_s` the rate of requests that
+    they rejected; `zones` has their observation of each zone by its name.
     """
 
     dispatchers: float = 0.0
@@ -149,17 +152,20 @@
 
     @property
     def combined(self) -> Observation:
-        """As seen from everywhere."""
+        """The observation of all dispatchers, inside and outside the zone."""
         return self.inside.merged(self.outside)
 
     @property
     def capacity(self) -> float | None:
-        """Slots that its endpoints can use now; None where nobody knows how many they have."""
+        """The slots that its endpoints can use now; None if no dispatcher knows their number of slots."""
         combined = self.combined
         return combined.warm_slots if combined.slots > 0.0 or not combined.endpoints else None
 
     def authoritative(self) -> Observation:
-        """The observation that decides whether the zone works: its own dispatchers', if any."""
+        """The observation that decides whether the zone works: that of its own dispatchers, if there are any.
+
+        A dispatcher outside may merely be cut off from the zone.
+        """
         return self.inside if self.inside.observers > 0.0 else self.outside
 
 
@@ -178,21 +184,21 @@
         self._reports: dict[str, deque[_TimedReport]] = {}
 
     def add(self, now: float, report: DispatcherReport) -> None:
-        """Keep one more report; a restarted dispatcher counts from nothing."""
+        """Add a report. The earlier reports of a dispatcher that has restarted are dropped."""
         reports = self._reports.setdefault(report.name, deque())
         if reports and reports[-1].report.process_id != report.process_id:
             reports.clear()
         reports.append(_TimedReport(now, report))
-        # One that is older than the window stays, to compare with.
+        # One report from before the window is kept, as the base that the counters are compared with.
         while len(reports) > 2 and reports[1].received_ms <= now - WINDOW_MS:
             reports.popleft()
 
     def discard(self, dispatcher: str) -> None:
-        """Forget a dispatcher that does not answer: what it saw last is out of date."""
+        """Drop the reports of a dispatcher that does not answer, as they are out of date."""
         self._reports.pop(dispatcher, None)
 
     def placements(self, now: float) -> dict[str, PlacementReport]:
-        """What the dispatchers observed lately, by the zone that they are placed in."""
+        """The dispatchers' recent observations, by the zone in which the dispatchers are placed."""
         placements: dict[str, PlacementReport] = {}
         for reports in self._reports.values():
             last = reports[-1]
@@ -200,14 +206,14 @@
                 continue
             home_zone = last.report.home_zone
             before = placements.get(home_zone, PlacementReport())
-            placements[home_zone] = before.merged(_recent(reports[0], last))
+            placements[home_zone] = before.merged(_placement_report(reports[0], last))
         return placements
 
 
-def _recent(first: _TimedReport, last: _TimedReport) -> PlacementReport:
-    """What one dispatcher observed between two reports; where they are the same one, only its gauges."""
+def _placement_report(first: _TimedReport, last: _TimedReport) -> PlacementReport:
+    """The observations of one dispatcher between two reports; only gauges if both are the same report."""
     zones = {
-        name: _observed(counters, first.report.zones.get(name, ZoneCounters()), first is not last)
+        name: _observation(counters, first.report.zones.get(name, ZoneCounters()), first is not last)
         for name, counters in last.report.zones.items()
     }
     if first is last:
@@ -218,9 +224,9 @@
     return PlacementReport(1.0, demand, rejected_per_s, zones)
 
 
-def _observed(counters: ZoneCounters, before: ZoneCounters, is_span: bool) -> Observation:
-    attempts = counters.attempts - before.attempts if is_span else 0.0
-    lost_attempts = counters.lost_attempts - before.lost_attempts if is_span else 0.0
+def _observation(counters: ZoneCounters, before: ZoneCounters, has_span: bool) -> Observation:
+    attempts = counters.attempts - before.attempts if has_span else 0.0
+    lost_attempts = counters.lost_attempts - before.lost_attempts if has_span else 0.0
     is_observer = attempts > 0.0 or counters.ejected > 0.0
     return Observation(
         counters.endpoints,
--- a/dunepulley/control/membership.py
+++ b/dunepulley/control/membership.py
@@ -1,13 +1,13 @@
-"""Which agents of a fleet are reachable, as seen from one of them, and which one leads.
+"""Cluster membership: which agents are reachable, as seen from one of them, and which one leads.
 
 The members are a fixed list from every agent's configuration. Each agent exchanges heartbeats with every
-other one. A heartbeat carries the sender's incarnation and how long ago it heard from each of the others, so
-that a member that is unreachable from here is told from one that is gone, and a link that works in one
-direction only is recognised.
+other one. A heartbeat carries the sender's incarnation and the time since it last heard from each of the
+others. This distinguishes a member that only this agent cannot reach from one that is down, and detects
+links that work in one direction only.
 
-Incarnations and failure reports by way of other members are those of SWIM: A. Das, I. Gupta and
-A. Motivala, "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol" (2002).
-Its random probes and piggybacked gossip are not needed for a fixed list this short.
+Incarnations and indirect failure reports are those of SWIM: A. Das, I. Gupta and A. Motivala, "SWIM: Scalable
+Weakly-consistent Infection-style Process Group Membership Protocol" (2002). Its random probes and piggybacked
+gossip are not needed for a fixed list this short.
 
 All times are ms of this host's steady clock.
 """
@@ -18,23 +18,23 @@
 from enum import StrEnum
 from typing import NamedTuple
 
-# Agents exchange heartbeats each half second; four that are missed in a row are no jitter.
+# Agents exchange heartbeats each half second; four that are missed in a row are more than jitter.
 HEARTBEAT_TIMEOUT_MS = 2000.0
-# How long a member waits before it leads in the place of those before it: two round trips and two writes.
+# How long a member waits before it takes over from an unreachable leader: two round trips and two writes.
 TAKEOVER_DELAY_MS = 1500.0
 INFINITY = float("inf")
 
 
 class MemberStatus(StrEnum):
-    """How a member stands; the values are shown to operators."""
+    """The status of a member; the values are shown to operators."""
 
     SELF = "me"
     REACHABLE = "here"
-    # It is heard, and does not hear this agent.
+    # Its heartbeats arrive here, and it does not receive those of this agent.
     ONE_WAY = "one way"
-    # It is not heard here, and another member hears it.
+    # Its heartbeats do not arrive here, but they reach another member.
     UNREACHABLE = "cut"
-    # Nobody hears it.
+    # No member receives its heartbeats.
     GONE = "gone"
     # It answers with an older version of the protocol.
     OLDER_VERSION = "older"
@@ -43,7 +43,8 @@
 class Heartbeat(NamedTuple):
     """The last heartbeat of a member.
 
-    `incarnation` is the start of its process; `ages` holds how many ms before it had heard from each other.
+    `incarnation` is the start time of its process. `ages` has, for each other member, how many ms before this
+    heartbeat the sender had last heard from it.
     """
 
     received_ms: float
@@ -52,25 +53,28 @@
 
 
 class Membership:
-    """What one agent knows of all members."""
+    """The status of all members as one agent sees it."""
 
     def __init__(self, name: str, members: tuple[str, ...]) -> None:
         self.name = name
         self.members = members
         self.heartbeats: dict[str, Heartbeat] = {}
-        # Those that answered the last call with an older version of the protocol.
+        # The members that answered the last call with an older version of the protocol.
         self.older_version: set[str] = set()
-        # Why the last call to a member failed; empty where it did not.
-        self.problems: dict[str, str] = {}
-        self.leading_since = INFINITY
+        # Why the last call to a member failed, by its name; empty where it succeeded.
+        self.last_errors: dict[str, str] = {}
+        self.leading_since_ms = INFINITY
 
     @property
     def majority(self) -> int:
-        """How many members decide."""
+        """The number of members that form a majority."""
         return len(self.members) // 2 + 1
 
     def record_heartbeat(self, name: str, now: float, incarnation: float, ages: Mapping[str, float]) -> bool:
-        """Take in a heartbeat; False where the sender is no other member, or an ended incarnation."""
+        """Record a heartbeat.
+
+        Returns False, and ignores it, if the sender is not another member or is an earlier incarnation.
+        """
         if name not in self.members or name == self.name:
             return False
         last = self.heartbeats.get(name)
@@ -79,19 +83,20 @@
             and incarnation < last.incarnation
             and now - last.received_ms < HEARTBEAT_TIMEOUT_MS
         ):
-            # A process that ends beside its successor. After a while it may as well be a clock set back.
+            # From an earlier process, which ends while the next one runs already. Later than the timeout it
+            # is accepted, as the member's wall clock may have been set back between its two starts.
             return False
-        known = {member: ages[member] for member in self.members if member in ages}
-        self.heartbeats[name] = Heartbeat(now, incarnation, known)
+        known_ages = {member: ages[member] for member in self.members if member in ages}
+        self.heartbeats[name] = Heartbeat(now, incarnation, known_ages)
         self.older_version.discard(name)
         return True
 
     def ages(self, now: float) -> dict[str, float]:
-        """How many ms ago each other member was heard: what a heartbeat carries."""
+        """The time in ms since the last heartbeat of each other member, which a heartbeat carries."""
         return {name: max(0.0, now - last.received_ms) for name, last in self.heartbeats.items()}
 
     def status(self, name: str, now: float) -> MemberStatus:
-        """How a member stands, seen from here."""
+        """The status of a member as this agent sees it."""
         if name == self.name:
             return MemberStatus.SELF
         last = self.heartbeats.get(name)
@@ -99,14 +104,15 @@
             return MemberStatus.REACHABLE if self._hears_this_agent(last, now) else MemberStatus.ONE_WAY
         if name in self.older_version:
             return MemberStatus.OLDER_VERSION
-        return MemberStatus.UNREACHABLE if self._is_heard_by_another(name, now) else MemberStatus.GONE
+        return MemberStatus.UNREACHABLE if self._is_reached_by_another(name, now) else MemberStatus.GONE
 
     def _hears_this_agent(self, heartbeat: Heartbeat, now: float) -> bool:
+        """Whether the sender of a heartbeat receives the heartbeats of this agent."""
         age = heartbeat.ages.get(self.name)
-        # The age has grown since it was sent; twice the time, as the calls of both sides are not in step.
+        # The age has grown since it was sent. Twice the timeout, as the two sides send at different moments.
         return age is not None and age + (now - heartbeat.received_ms) < 2.0 * HEARTBEAT_TIMEOUT_MS
 
-    def _is_heard_by_another(self, name: str, now: float) -> bool:
+    def _is_reached_by_another(self, name: str, now: float) -> bool:
         for other, last in self.heartbeats.items():
             age = last.ages.get(name)
             if other == name or age is None:
@@ -116,23 +122,23 @@
         return False
 
     def statuses(self, now: float) -> dict[str, MemberStatus]:
-        """How all members stand."""
+        """The status of all members by name."""
         return {name: self.status(name, now) for name in self.members}
 
     def may_lead(self, now: float) -> bool:
-        """Whether this agent is the one to decide now.
+        """Whether this agent leads now, and so proposes new plans.
 
-        The first reachable member of the list leads. Any but the first of the list waits before it takes
-        over, so that two members with different views seldom propose at once; where they do, ballots settle
-        it. A member that reaches no majority cannot decide and does not try.
+        The first reachable member of the list leads. All but the first of the list wait before they take
+        over, so that two members with different views seldom propose at the same time; if they do, ballots
+        decide between them. A member that does not reach a majority cannot commit a plan and does not try.
         """
         statuses = self.statuses(now)
         reachable = [
             name for name in self.members if statuses[name] in (MemberStatus.REACHABLE, MemberStatus.SELF)
         ]
         if len(reachable) < self.majority or reachable[0] != self.name:
-            self.leading_since = INFINITY
+            self.leading_since_ms = INFINITY
             return False
-        self.leading_since = min(self.leading_since, now)
+        self.leading_since_ms = min(self.leading_since_ms, now)
         is_first = self.members[0] == self.name
-        return now - self.leading_since >= (0.0 if is_first else TAKEOVER_DELAY_MS)
+        return now - self.leading_since_ms >= (0.0 if is_first else TAKEOVER_DELAY_MS)
--- a/dunepulley/control/plan_application.py
+++ b/dunepulley/control/plan_application.py
@@ -1,11 +1,11 @@
-"""How a dispatcher applies the traffic plan: which endpoints of discovery's list its router is told of.
+"""How a dispatcher applies the traffic plan: which endpoints of discovery's list its router may use.
 
-The router decides every request among the endpoints that it is told of. How much of a zone's traffic spills
-over is set by how many endpoints of the other zones a dispatcher uses beside its own. Each dispatcher ranks
-them differently (rendezvous hashing), so that together they use all. Endpoints that are not selected are
-told to the router as draining.
+The router chooses among the endpoints that are passed to it as ready; endpoints that are not selected here
+are passed to it as draining. The fraction of a zone's traffic that spills over is controlled by the capacity
+of the endpoints that a dispatcher uses in other zones, relative to that in its own. Each dispatcher ranks
+endpoints differently (rendezvous hashing), so that all dispatchers together use all of them.
 
-Times are Unix ms of this host's clock that is not stepped.
+Times are Unix ms by this process's clock, which is not affected by steps of the wall clock.
 """
 
 from __future__ import annotations
@@ -18,8 +18,8 @@
 from dunepulley.routing.events import EndpointEntry
 from dunepulley.routing.rendezvous import rank_of
 
-# A dispatcher that finds more than this part of its endpoints ejected escapes from the plan for so long,
-# which is longer than agents take to agree on a new one.
+# A dispatcher escapes from the plan, which means that it uses all open zones, if more than this fraction of
+# its selected endpoints is ejected. An escape lasts longer than agents take to agree on a new plan.
 ESCAPE_FRACTION = 0.5
 ESCAPE_MS = 5000.0
 MAX_CACHED_RANKS = 4096
@@ -29,14 +29,14 @@
 
 
 class FollowerMode(StrEnum):
-    """Why a dispatcher uses the endpoints that it uses; the values are those of its report."""
+    """How a dispatcher selects its endpoints; the values are those of its report."""
 
-    # No plan is in force: all endpoints of the list.
+    # No plan is in force: all endpoints of the list are used.
     WITHOUT_PLAN = "alone"
     BY_PLAN = "by plan"
-    # Most of what the plan leaves it is ejected: all open zones.
+    # Most endpoints that the plan selects are ejected: all endpoints of open zones are used.
     ESCAPED = "escaped"
-    # The plan leaves it no endpoint: any open zone, or whatever there is.
+    # The plan selects no endpoint: those of open zones are used, or all if there are none.
     NO_ENDPOINTS = "nobody left"
 
 
@@ -48,20 +48,20 @@
 
 
 class PlanLease(NamedTuple):
-    """A plan, and until when a dispatcher may go by it."""
+    """A plan, and until when a dispatcher may follow it."""
 
     plan: Plan = Plan()
     expires_ms: float = 0.0
 
     def is_renewed_by(self, other: PlanLease) -> bool:
-        """Whether another lease may replace this one: no older plan, nor the same one for a shorter time."""
+        """Whether `other` may replace this lease: a newer plan, or the same one with no earlier expiry."""
         if other.plan.version == self.plan.version:
             return other.plan == self.plan and other.expires_ms >= self.expires_ms
         return other.plan.version > self.plan.version
 
 
 class Selection(NamedTuple):
-    """The ids of the endpoints that a dispatcher uses, and why."""
+    """The ids of the endpoints that a dispatcher uses, and how they were selected."""
 
     endpoint_ids: frozenset[str]
     mode: FollowerMode
@@ -74,16 +74,16 @@
     required_kinds: Collection[str] = (),
     ranking: Ranking = rank_of,
 ) -> Selection:
-    """The ready endpoints that a dispatcher uses under a plan.
+    """Return the ready endpoints that a dispatcher uses under a plan.
 
-    Of each required kind at least one endpoint is used, if one is ready in a zone that is not closed.
+    At least one endpoint of each required kind is used, if one is ready in a zone that is not closed.
     """
     ready = list(ready)
     closed = plan.closed_zones()
     open_entries = [entry for entry in ready if entry.zone not in closed]
     chosen = _choose_by_zone(plan, placement, open_entries, ranking)
     if not chosen:
-        # All that the plan would use is gone from the list.
+        # No endpoint that the plan would use is ready.
         return Selection(_ids(open_entries or ready), FollowerMode.NO_ENDPOINTS)
     for kind in required_kinds:
         if kind and not any([entry.kind == kind for entry in chosen]):
@@ -105,7 +105,7 @@
 def _choose_by_zone(
     plan: Plan, placement: Placement, entries: list[EndpointEntry], ranking: Ranking
 ) -> list[EndpointEntry]:
-    """The endpoints of each zone that the plan has this dispatcher use, in the plan's proportions."""
+    """The endpoints of each zone that this dispatcher uses, in the proportions of the plan."""
     by_zone: dict[str, list[EndpointEntry]] = {}
     for entry in entries:
         by_zone.setdefault(entry.zone, []).append(entry)
@@ -114,29 +114,31 @@
     fractions = {each.zone: each.fraction for each in zone.spillover}
     grants = {each.zone: each.grant for each in zone.spillover}
     fractions[home_zone], grants[home_zone] = zone.local_fraction(), 1.0
-    used = {name: part for name, part in fractions.items() if part > 0.0 and name in by_zone}
-    if not used:
+    used_fractions = {
+        name: fraction for name, fraction in fractions.items() if fraction > 0.0 and name in by_zone
+    }
+    if not used_fractions:
         return []
-    capacities = {name: sum([entry.capacity for entry in by_zone[name]]) for name in used}
-    # As much as there can be in these proportions, so that as few endpoints as possible are left out.
-    total = min([capacities[name] / part for name, part in used.items()])
+    capacities = {name: sum([entry.capacity for entry in by_zone[name]]) for name in used_fractions}
+    # The largest capacity that is possible in these proportions, so that few endpoints stay unused.
+    total = min([capacities[name] / fraction for name, fraction in used_fractions.items()])
     chosen: list[EndpointEntry] = []
-    for name, part in used.items():
-        wanted = min(total * part, grants[name] * capacities[name])
-        chosen += _choose(dispatcher, by_zone[name], wanted, ranking)
+    for name, fraction in used_fractions.items():
+        target_capacity = min(total * fraction, grants[name] * capacities[name])
+        chosen += _choose(dispatcher, by_zone[name], target_capacity, ranking)
     return chosen
 
 
 def _choose(
     dispatcher: str, entries: list[EndpointEntry], capacity: float, ranking: Ranking
 ) -> list[EndpointEntry]:
-    """The first endpoints by rank that have about this capacity together; one at least."""
+    """The first endpoints by rank whose total capacity is closest to `capacity`; at least one."""
     chosen: list[EndpointEntry] = []
     chosen_capacity = 0.0
     for entry in sorted(
         entries, key=lambda entry: (ranking(dispatcher, entry.endpoint_id), entry.endpoint_id)
     ):
-        # Up to where the next would be more than half too much.
+        # Stop where the next endpoint would exceed the target by more than half of its own capacity.
         if chosen and chosen_capacity + 0.5 * entry.capacity > capacity:
             break
         chosen.append(entry)
@@ -145,7 +147,11 @@
 
 
 class Follower:
-    """A dispatcher's plan, its lease, and the escape from it where it fails."""
+    """Follows the traffic plan at one dispatcher while its lease lasts.
+
+    If most of the endpoints that the plan selects are ejected, the dispatcher escapes from the plan for
+    `ESCAPE_MS`: it uses all endpoints of open zones.
+    """
 
     def __init__(self, dispatcher: str, home_zone: str, ranking: Ranking = rank_of) -> None:
         self.placement = Placement(dispatcher, home_zone)
@@ -153,12 +159,12 @@
         self.lease = PlanLease()
         self.escape_ends_ms = 0.0
         self.mode = FollowerMode.WITHOUT_PLAN
-        # How often it has escaped, for its report.
+        # The number of escapes, for the dispatcher's report.
         self.escapes = 0
         self._ranks: dict[str, float] = {}
 
     def accept(self, lease: PlanLease) -> bool:
-        """Go by another lease, unless it is older than the one in hand; whether it was taken."""
+        """Replace the lease, unless `lease` is older; returns whether it was replaced."""
         if not self.lease.is_renewed_by(lease):
             return False
         if lease.plan.version != self.lease.plan.version:
@@ -167,7 +173,7 @@
         return True
 
     def has_valid_plan(self, now: float) -> bool:
-        """Whether a plan is in force."""
+        """Whether the lease of the plan has not expired."""
         return now < self.lease.expires_ms
 
     def select(
@@ -177,10 +183,10 @@
         ejected: Collection[str],
         required_kinds: Collection[str] = (),
     ) -> frozenset[str]:
-        """The ids of the endpoints to use now; `ejected` are those that the router has ejected."""
+        """Return the ids of the endpoints to use now; `ejected` are those that the router has ejected."""
         ready = list(ready)
         if not self.has_valid_plan(now):
-            # The standing rule, which needs no agent: by the list alone.
+            # Without agents, or once the lease has expired, all ready endpoints are used.
             self.mode = FollowerMode.WITHOUT_PLAN
             return _ids(ready)
         selection = apply_plan(self.lease.plan, self.placement, ready, required_kinds, self._rank)
@@ -199,7 +205,7 @@
             self.escapes += 1
 
     def _rank(self, dispatcher: str, endpoint_id: str) -> float:
-        """A cached `ranking`."""
+        """The rank of an endpoint by `ranking`, cached."""
         rank = self._ranks.get(endpoint_id)
         if rank is None:
             if len(self._ranks) >= MAX_CACHED_RANKS:
--- a/dunepulley/control/plan_draft.py
+++ b/dunepulley/control/plan_draft.py
@@ -1,8 +1,8 @@
-"""The zones of the next plan: each zone's own state first, then what the fleet has room for.
+"""The zones of the next plan: first the state of each zone by itself, then adjusted to the spare capacity.
 
-Capacity comes first: no zone is evacuated, and no traffic spills over, where the zones that remain would be
-asked for more than their limit. What then finds no room anywhere is rejected by each dispatcher's router, by
-priority weight.
+Capacity takes precedence: no zone is evacuated, and no traffic spills over, where this would load the
+remaining zones beyond their utilization limit. Traffic for which no zone has capacity is rejected by each
+dispatcher's router, by priority weight.
 """
 
 from __future__ import annotations
@@ -21,11 +21,11 @@
 from dunepulley.control.zone_history import FRACTION_STEP, round_fraction
 from dunepulley.control.zone_transitions import Transition, ZoneInputs, next_state, target_spill
 
-# A zone of which less than this fraction works is evacuated even if the others cannot bear all of it.
+# A zone of which less than this fraction works is evacuated even if the others lack capacity for its traffic.
 MIN_USEFUL_FRACTION = 0.2
-# The demand, in slots, that an idle zone is reckoned with.
+# The demand, in slots, that is assumed for an idle zone.
 MIN_DEMAND = 0.5
-# Slots of each endpoint where nobody knows how many there are: room enough for any demand.
+# The slots that are assumed for each endpoint whose number of slots is unknown: enough for any demand.
 ASSUMED_SLOTS = 1e3
 
 
@@ -44,31 +44,31 @@
             name: target_spill(zone, self._transitions[name].state, limit, now)
             for name, zone in zones.items()
         }
-        self._asked: dict[str, float] = {}
+        self._requested_slots: dict[str, float] = {}
         self._allocations: dict[str, Allocation] = {}
 
     def zones(self) -> tuple[ZonePlan, ...]:
-        """All zones with their states and what spills over from them."""
+        """All zones with their states and their spillover."""
         self._allocate()
         self._keep_partly_working_zones()
         self._allocate()
         return tuple([self._zone_plan(name) for name in self._transitions])
 
     def _allocate(self) -> None:
-        """Work out what each zone asks of the others in slots, and what it gets."""
-        self._asked = {
+        """Compute how many slots each zone requests from the others, and how many it gets."""
+        self._requested_slots = {
             name: round_fraction(target) * max(MIN_DEMAND, self._zone_view(name).demand)
             for name, target in self._targets.items()
         }
-        spare = {name: self._spare_slots(name) for name in self._transitions if self._takes_over(name)}
-        tiers = {name: self._regions.tiers(name, list(spare)) for name in self._asked}
-        self._allocations = allocate_spare(self._asked, spare, tiers)
+        spare = {name: self._spare_slots(name) for name in self._transitions if self._accepts_spillover(name)}
+        tiers = {name: self._regions.tiers(name, list(spare)) for name in self._requested_slots}
+        self._allocations = allocate_spare(self._requested_slots, spare, tiers)
 
     def _zone_view(self, name: str) -> ZoneView:
         return self._view.get(name, ZoneView(name))
 
-    def _takes_over(self, name: str) -> bool:
-        """Whether a zone may take traffic: not one that returns, spills, or is cut off from outside."""
+    def _accepts_spillover(self, name: str) -> bool:
+        """Whether a zone may take other zones' traffic: it is in state `LOCAL` and reachable from outside."""
         view = self._zone_view(name)
         if self._transitions[name].state != ZoneState.LOCAL or view.outside.looks_lost():
             return False
@@ -83,16 +83,16 @@
         return max(0.0, self._regions.utilization_limit * capacity - own_demand)
 
     def _keep_partly_working_zones(self) -> None:
-        """Have a zone spill instead of evacuating it, where it works in part and the rest lacks the room."""
+        """Have a partly working zone spill instead of evacuating it, if the others lack capacity for it."""
         for name, transition in list(self._transitions.items()):
-            allocation, asked = self._allocations[name], self._asked[name]
-            if self._is_newly_lost(name, transition) and allocation.unplaced > FRACTION_STEP * asked:
+            allocation, requested = self._allocations[name], self._requested_slots[name]
+            if self._is_newly_lost(name, transition) and allocation.unplaced > FRACTION_STEP * requested:
                 reason = "works in part, and the others cannot bear all of it"
                 self._transitions[name] = Transition(ZoneState.SPILLING, reason)
-                self._targets[name] = 1.0 - allocation.unplaced / asked
+                self._targets[name] = 1.0 - allocation.unplaced / requested
 
     def _is_newly_lost(self, name: str, transition: Transition) -> bool:
-        """Whether a zone that still works in part is about to be evacuated, not by an operator's order."""
+        """Whether a zone that still works in part is about to be evacuated other than by an operator."""
         zone = self._inputs[name]
         if transition.state != ZoneState.EVACUATED or zone.planned.state == ZoneState.EVACUATED:
             return False
@@ -116,16 +116,17 @@
         placed = sum(allocation.slots.values())
         if round_fraction(target) <= 0.0 or placed <= 0.0:
             return ()
-        is_short = allocation.unplaced > FRACTION_STEP * self._asked[name]
-        # What finds no room stays where it is; where it cannot stay, it is rejected there by priority weight.
+        is_capacity_short = allocation.unplaced > FRACTION_STEP * self._requested_slots[name]
+        # Traffic that gets no capacity elsewhere stays in its zone. If the zone is closed, the routers of its
+        # dispatchers reject that traffic by priority weight.
         fraction = round_fraction(target)
-        if is_short and state not in CLOSED_STATES:
+        if is_capacity_short and state not in CLOSED_STATES:
             fraction = target * placed / (placed + allocation.unplaced)
         spillover = []
         for zone, slots in sorted(allocation.slots.items()):
             capacity = self._view[zone].capacity or 0.0
-            grant = min(1.0, slots / capacity) if is_short and capacity > 0.0 else 1.0
-            part = round(fraction * slots / placed, 4)
-            if part > 0.0:
-                spillover.append(Spillover(zone, part, round(grant, 4)))
+            grant = min(1.0, slots / capacity) if is_capacity_short and capacity > 0.0 else 1.0
+            zone_fraction = round(fraction * slots / placed, 4)
+            if zone_fraction > 0.0:
+                spillover.append(Spillover(zone, zone_fraction, round(grant, 4)))
         return tuple(spillover)
--- a/dunepulley/control/traffic_plan.py
+++ b/dunepulley/control/traffic_plan.py
@@ -1,8 +1,8 @@
-"""The traffic plan that a fleet agrees on: the state of each zone, and how much of its traffic spills where.
+"""The traffic plan that a fleet agrees on: the state of each zone, and where its traffic spills over to.
 
-A plan is identified by its version (epoch, number): whoever holds a newer plan refuses an older one. It holds
-no clock readings but for people to read: an operator override carries the time that remained when the plan
-was made.
+A plan is identified by its version (epoch, number): agents and dispatchers ignore a plan that is older than
+theirs. Its only clock reading, `created_ms`, is for people: an operator override has the time that remained
+when the plan was created instead of an expiry.
 """
 
 from __future__ import annotations
@@ -11,22 +11,22 @@
 from typing import NamedTuple, TypeAlias
 
 INFINITY = float("inf")
-# What tells an older plan from a newer one: epoch and number.
+# Epoch and number; the greater of two versions is the newer plan.
 PlanVersion: TypeAlias = tuple[int, int]
 
 
 class ZoneState(StrEnum):
-    """How the traffic of a zone's dispatchers is served; the values are those of the wire and of the tool."""
+    """How the traffic of a zone's dispatchers is served; the values are those of the wire and of `ctl`."""
 
-    # By the zone's own endpoints alone.
+    # By the zone's own endpoints only.
     LOCAL = "near"
-    # A part of it by other zones.
+    # A fraction of it by other zones.
     SPILLING = "spilling"
-    # By other zones alone: nobody sends to this zone.
+    # By other zones only: no dispatcher sends requests to this zone.
     EVACUATED = "left"
-    # The zone takes a growing part of its own traffic again.
+    # After an evacuation, a growing fraction by the zone's own endpoints again.
     RETURNING = "returning"
-    # By other zones alone, by an operator's order.
+    # By other zones only, because of an operator override.
     BARRED = "barred"
 
 
@@ -34,22 +34,22 @@
 
 
 class OverrideAction(StrEnum):
-    """What an operator orders for a zone; the values are those of the wire and of the tool."""
+    """The action of an operator override of a zone; the values are those of the wire and of `ctl`."""
 
     EVACUATE = "leave"
     BAR = "bar"
-    # Ends an override and lets the zone return; no plan holds it.
+    # Ends an override and lets the zone return; it is not stored in the plan.
     RETURN = "return"
 
 
-# The actions that stand in a plan until they end.
+# The actions that are stored in a plan until the override ends.
 STANDING_ACTIONS = (OverrideAction.EVACUATE, OverrideAction.BAR)
 
 
 class Spillover(NamedTuple):
-    """A part of a zone's traffic that another zone takes.
+    """A fraction of a zone's traffic that another zone serves.
 
-    `fraction` is the part of the traffic; `grant` the part of the other zone's endpoints that it may use.
+    `grant` is the fraction of the other zone's endpoints that this traffic may use.
     """
 
     zone: str
@@ -66,16 +66,16 @@
     reason: str = ""
 
     def spilled_fraction(self) -> float:
-        """The part of its dispatchers' traffic that other zones take, from 0 to 1."""
+        """The fraction of its dispatchers' traffic that other zones serve, from 0 to 1."""
         return sum([spillover.fraction for spillover in self.spillover])
 
     def local_fraction(self) -> float:
-        """The part of its dispatchers' traffic that its own endpoints are to get, from 0 to 1."""
+        """The fraction of its dispatchers' traffic that its own endpoints serve, from 0 to 1."""
         return 0.0 if self.state in CLOSED_STATES else max(0.0, 1.0 - self.spilled_fraction())
 
 
 class OperatorOverride(NamedTuple):
-    """An operator's order for a zone; `remaining_ms` is how long it had left when the plan was made."""
+    """An operator's override of a zone's state; `remaining_ms` is the time left when the plan was created."""
 
     zone: str
     action: OverrideAction
@@ -84,12 +84,12 @@
     remaining_ms: float = INFINITY
 
     def is_same_order(self, other: OperatorOverride) -> bool:
-        """Whether two overrides differ in the remaining time at most."""
+        """Whether two overrides are equal except for the remaining time."""
         return self._replace(remaining_ms=other.remaining_ms) == other
 
 
 class Plan(NamedTuple):
-    """All zones at one version; `author` is the agent that made it, `created_ms` its Unix time."""
+    """All zones at one version; `author` is the agent that created the plan, at Unix time `created_ms`."""
 
     epoch: int = 0
     number: int = 0
@@ -100,7 +100,7 @@
 
     @property
     def version(self) -> PlanVersion:
-        """What tells an older plan from a newer one."""
+        """Epoch and number; the greater of two versions is the newer plan."""
         return self.epoch, self.number
 
     def zone(self, name: str) -> ZonePlan:
@@ -108,9 +108,9 @@
         return next((zone for zone in self.zones if zone.name == name), ZonePlan(name))
 
     def override(self, zone: str) -> OperatorOverride | None:
-        """The operator override that stands for a zone, if any."""
+        """The operator override of a zone, or None."""
         return next((override for override in self.overrides if override.zone == zone), None)
 
     def closed_zones(self) -> set[str]:
-        """The zones whose endpoints get no traffic."""
+        """The names of the zones whose endpoints get no traffic."""
         return {zone.name for zone in self.zones if zone.state in CLOSED_STATES}
--- a/dunepulley/control/zone_history.py
+++ b/dunepulley/control/zone_history.py
@@ -1,7 +1,7 @@
-"""Since when a zone has looked as it does: what makes the planner slow to act on a burst.
+"""For how long a zone has been lost or overloaded, so that the planner does not react to short bursts.
 
-Every agent keeps a history of each zone all the time, so that whichever leads next has watched for as long as
-the one before it. Times are ms of that host's steady clock.
+Every agent keeps the history of each zone at all times, so that the next leader has observed the zones for as
+long as its predecessor. Times are ms of that host's steady clock.
 """
 
 from __future__ import annotations
@@ -11,7 +11,8 @@
 from dunepulley.control.fleet_view import ZoneView
 from dunepulley.control.traffic_plan import CLOSED_STATES, INFINITY, ZonePlan, ZoneState
 
-# A zone that returned and was lost again waits longer each time, until it has been well for this long.
+# A zone that was lost again after its return waits longer each time. The count of such failed returns is
+# reset after the zone has been in state `LOCAL` for this long.
 FAILED_RETURNS_FORGOTTEN_MS = 120_000.0
 # Fractions of traffic are planned in steps of this; smaller changes are noise.
 FRACTION_STEP = 0.05
@@ -23,19 +24,19 @@
 
 
 class ZoneHistory(NamedTuple):
-    """What an agent remembers of one zone."""
+    """One agent's record of the state changes and failures of a zone."""
 
     state: ZoneState = ZoneState.LOCAL
     state_since_ms: float = 0.0
     lost_since_ms: float = INFINITY
     overloaded_since_ms: float = INFINITY
     failed_returns: int = 0
-    # When the fraction that spills over last changed.
+    # When the spilled fraction last changed.
     spillover_changed_ms: float = -INFINITY
 
 
 def with_plan(history: ZoneHistory, before: ZonePlan, after: ZonePlan, now: float) -> ZoneHistory:
-    """The history after a newly agreed plan changed a zone's part from `before` to `after`."""
+    """The history after a newly agreed plan changed the plan of a zone from `before` to `after`."""
     if after.state != history.state:
         failed = history.state == ZoneState.RETURNING and after.state == ZoneState.EVACUATED
         history = history._replace(
@@ -49,15 +50,15 @@
 def with_observation(
     history: ZoneHistory, zone: ZoneView, utilization_limit: float, now: float
 ) -> ZoneHistory:
-    """The history after a zone was seen once more."""
+    """The history after another observation of a zone."""
     lost = _looks_lost(zone, history.state)
     overloaded = not lost and _is_overloaded(zone, utilization_limit)
     local_for_ms = now - history.state_since_ms if history.state == ZoneState.LOCAL else 0.0
-    forgotten = local_for_ms > FAILED_RETURNS_FORGOTTEN_MS
+    reset_failures = local_for_ms > FAILED_RETURNS_FORGOTTEN_MS
     return history._replace(
         lost_since_ms=min(history.lost_since_ms, now) if lost else INFINITY,
         overloaded_since_ms=min(history.overloaded_since_ms, now) if overloaded else INFINITY,
-        failed_returns=0 if forgotten else history.failed_returns,
+        failed_returns=0 if reset_failures else history.failed_returns,
     )
 
 
@@ -66,7 +67,7 @@
         return True
     observation = zone.authoritative()
     if state in CLOSED_STATES or state == ZoneState.RETURNING:
-        # Its endpoints stay ejected until an attempt succeeds there: only recent attempts count.
+        # Its endpoints stay ejected until an attempt succeeds there, so only recent attempts count.
         return observation.loses_attempts()
     return observation.looks_lost()
 
