--- a/dunepulley/net/__init__.py
+++ b/dunepulley/net/__init__.py
@@ -1,11 +1,11 @@
-"""The real dispatcher on sockets, one file for each peer, built round the decision module."""
+"""The dispatcher process: sockets, timers and the event loop around the router (`dunepulley.routing`)."""
 
 import ssl
 
-# The library reads all certificates of the system twice when it is imported: a quarter of the CPU time of a
-# start, for what is never used here, as all that is spoken is plain HTTP. Without them nobody is trusted.
+# When aiohttp is imported, it loads all certificates of the system twice. That takes a quarter of the CPU
+# time of a start, although only plain HTTP is used. Without the loading, no certificate is trusted.
 ssl.SSLContext.set_default_verify_paths = lambda context: None
 try:
     import aiohttp  # noqa: F401
 finally:
-    del ssl.SSLContext.set_default_verify_paths  # the one that it inherits is seen again
+    del ssl.SSLContext.set_default_verify_paths  # restores the inherited method
--- a/dunepulley/net/addresses.py
+++ b/dunepulley/net/addresses.py
@@ -8,7 +8,7 @@
 def parse_address(text: str) -> tuple[str, int]:
     """Return host and port of `host:port`, without the brackets of an IPv6 address.
 
-    Raises ValueError where the text is anything else, or the port is not between 1 and 65535.
+    Raises ValueError if the text has another form, or if the port is not between 1 and 65535.
     """
     if not isinstance(text, str):
         raise ValueError(f"{text!r} is no host:port")
--- a/dunepulley/net/admin.py
+++ b/dunepulley/net/admin.py
@@ -1,6 +1,6 @@
-"""The admin interface, where operators and agents call: one line a connection, and one reply.
+"""The admin interface for operators and agents: one command line per connection, and one reply.
 
-`AdminServer` owns the listening socket and every connection. What the commands do is given to it
+`AdminServer` owns the listening socket and every connection. The commands are passed to it
 (`admin_commands.py`).
 """
 
@@ -15,22 +15,22 @@
 from dunepulley.net.listener import Listener
 from dunepulley.net.log_events import LogEvent
 
-# A set of drains is one line.
+# Room for a set of drains, which is one line.
 MAX_LINE_BYTES = 65536
-# Whoever has not sent a line, or not read the reply, loses the connection after this.
+# Limit on the duration of a connection, from its start until the reply has been read.
 CONNECTION_TIMEOUT_S = 5.0
 OK, FAILED = 200, 400
 
 
 class Reply(NamedTuple):
-    """The reply to a command: whether it was carried out, and the lines to print."""
+    """The reply to a command: whether it succeeded, and the text to print."""
 
     ok: bool
     text: str
 
 
 Command = Callable[[], Awaitable[Reply]]
-# A command that may have an argument, which is the rest of its line.
+# A command that may have an argument: everything after the first space of the line.
 CommandWithArgument = Callable[[str], Awaitable[Reply]]
 
 
@@ -47,20 +47,20 @@
         self.task: asyncio.Task | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
-        """Begin to wait for a line."""
+        """Register the connection and start its timeout."""
         self.transport = transport
         self.timer = asyncio.get_running_loop().call_later(CONNECTION_TIMEOUT_S, transport.abort)
         self.server.add(self)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Give up the command, if one is under way."""
+        """Cancel the command in progress, if any."""
         self.timer.cancel()
         if self.task is not None:
             self.task.cancel()
         self.server.remove(self)
 
     def data_received(self, data: bytes) -> None:
-        """Carry out a command once its line is complete; more than one line is refused."""
+        """Run the command once its line is complete; more than one line is rejected."""
         if self.task is not None or self.transport.is_closing():
             return
         self.received += data
@@ -70,31 +70,31 @@
         elif rest:
             self.reply(Reply(False, "one line a connection"))
         elif newline:
-            self._begin(bytes(line))
+            self._start(bytes(line))
 
     def eof_received(self) -> bool:
-        """Take what came as a line, and keep the connection open until the reply is out."""
+        """Treat the received bytes as a complete line, and keep the connection open for the reply."""
         if self.task is None and not self.transport.is_closing() and self.received:
-            self._begin(bytes(self.received))
+            self._start(bytes(self.received))
         return self.task is not None
 
-    def _begin(self, line: bytes) -> None:
-        self.server.waiting.pop(self, None)
-        self.task = asyncio.create_task(self._carry_out(line))
+    def _start(self, line: bytes) -> None:
+        self.server.incomplete.pop(self, None)
+        self.task = asyncio.create_task(self._execute(line))
 
-    async def _carry_out(self, line: bytes) -> None:
+    async def _execute(self, line: bytes) -> None:
         name, _, argument = line.decode("utf-8", "replace").strip().partition(" ")
-        self.reply(await self.server.carry_out(name, argument))
+        self.reply(await self.server.execute(name, argument))
 
     def reply(self, reply: Reply) -> None:
-        """Write the reply and close."""
-        self.server.waiting.pop(self, None)
+        """Write the reply and close the connection."""
+        self.server.incomplete.pop(self, None)
         self.transport.write(f"{OK if reply.ok else FAILED} {reply.text}\n".encode())
         self.transport.close()
 
 
 class AdminServer:
-    """Accepts connections, up to a limit, and carries out the commands that come over them."""
+    """Accepts connections, up to a limit, and runs the commands that are received on them."""
 
     def __init__(
         self,
@@ -107,15 +107,15 @@
         self.commands_with_argument = commands_with_argument
         self.max_connections = max_connections
         self.counters = counters
-        # Both in the order in which they came; those that wait have not sent a whole line yet.
+        # Both in the order of arrival; `incomplete` are those that have not sent a complete line yet.
         self.connections: dict[AdminConnection, None] = {}
-        self.waiting: dict[AdminConnection, None] = {}
+        self.incomplete: dict[AdminConnection, None] = {}
         self.listener = Listener(
-            LogEvent.CONSOLE, lambda queued_since_s: AdminConnection(self), self.close_oldest, counters
+            LogEvent.ADMIN, lambda queued_since_s: AdminConnection(self), self.close_oldest, counters
         )
 
-    async def carry_out(self, name: str, argument: str) -> Reply:
-        """Return the reply to a command; one that fails by a fault of ours is logged."""
+    async def execute(self, name: str, argument: str) -> Reply:
+        """Run a command and return its reply; an exception in the command is logged as a fault."""
         command, with_argument = self.commands.get(name), self.commands_with_argument.get(name)
         if with_argument is None and (command is None or argument):
             self.counters["console unknown"] += 1
@@ -129,22 +129,22 @@
             return Reply(False, "this call failed")
 
     def add(self, connection: AdminConnection) -> None:
-        """Keep a new connection; over the limit the oldest is closed for it."""
+        """Register a new connection; at the limit, the oldest connection is closed first."""
         if len(self.connections) >= self.max_connections:
             self.close_oldest()
-        self.connections[connection] = self.waiting[connection] = None
+        self.connections[connection] = self.incomplete[connection] = None
 
     def remove(self, connection: AdminConnection) -> None:
-        """Forget a connection."""
+        """Unregister a connection."""
         self.connections.pop(connection, None)
-        self.waiting.pop(connection, None)
+        self.incomplete.pop(connection, None)
 
     def close_oldest(self) -> bool:
-        """Close the oldest connection that has sent no whole line, else the oldest that waits for a reply.
+        """Close the oldest connection without a complete line, or else the oldest that awaits a reply.
 
-        Whether there was one.
+        Returns False if there is no connection.
         """
-        connection = next(iter(self.waiting or self.connections), None)
+        connection = next(iter(self.incomplete or self.connections), None)
         if connection is None:
             return False
         self.counters["console callers closed"] += 1
--- a/dunepulley/net/admin_commands.py
+++ b/dunepulley/net/admin_commands.py
@@ -32,18 +32,18 @@
 
 
 class AdminCommands:
-    """Shows and changes one dispatcher; each method is the command of its name."""
+    """Implements the commands on one dispatcher; each coroutine is the command of the same name."""
 
     def __init__(
-        self, config: DispatcherConfig, core: Core, clients: FrontendServer, counters: Counters
+        self, config: DispatcherConfig, core: Core, frontend: FrontendServer, counters: Counters
     ) -> None:
         self.config = config
         self.core = core
-        self.frontend = clients
+        self.frontend = frontend
         self.counters = counters
 
-    def plain(self) -> dict[str, Command]:
-        """Return the commands that have no argument, by name."""
+    def commands(self) -> dict[str, Command]:
+        """Return the commands without an argument, by name."""
         return {
             "HEALTH": self.health,
             "DUMP": self.dump,
@@ -53,21 +53,21 @@
             "WORKERS": self.workers,
         }
 
-    def with_argument(self) -> dict[str, CommandWithArgument]:
+    def commands_with_argument(self) -> dict[str, CommandWithArgument]:
         """Return the commands that may have an argument, by name."""
         commands: dict[str, CommandWithArgument] = {"DRAINS": self.drains}
-        if self.config.plan:
+        if self.config.follows_plan:
             commands["PLAN"] = self.plan
         return commands
 
     async def health(self) -> Reply:
-        """HEALTH: whether clients are to be sent here, and if not, why."""
+        """HEALTH: report whether this dispatcher accepts clients, and if not, the reason."""
         if self.frontend.accepts_clients():
             return Reply(True, "ready")
         return Reply(False, self.frontend.drain_state or "no worker is known that takes work")
 
     async def dump(self) -> Reply:
-        """DUMP: all metrics, one a line."""
+        """DUMP: print all metrics, one per line."""
         endpoints, avoided = await self.core.ask(EndpointCountRequested)
         lines = metrics.dump_lines(
             self.counters, self.frontend.requires_key, len(self.frontend.waiting), endpoints, avoided
@@ -76,16 +76,16 @@
 
     async def leave(self) -> Reply:
         """LEAVE: drain this dispatcher."""
-        self.frontend.leave(DRAINED, shutdown.LATE_CONNECTIONS_S)
+        self.frontend.leave(DRAINED, shutdown.LATE_CONNECTION_WINDOW_S)
         return Reply(True, self.frontend.drain_state)
 
     async def join(self) -> Reply:
-        """JOIN: take clients again after LEAVE."""
+        """JOIN: accept clients again after LEAVE."""
         joined = self.frontend.join()
         return Reply(joined, "joined" if joined else self.frontend.drain_state)
 
     async def who(self) -> Reply:
-        """WHO: the process, and whether it drains."""
+        """WHO: print the name and version of the process, and whether it drains."""
         return Reply(
             True,
             _json(
@@ -100,34 +100,36 @@
         )
 
     async def workers(self) -> Reply:
-        """WORKERS: each endpoint as it is seen here, and which kinds request classes must go to."""
-        endpoints, needs = (await self.core.ask(EndpointsRequested)).to_wire()
-        return Reply(True, "\n".join([_json({"needs": needs}), *map(_json, endpoints), END_OF_LINES]))
+        """WORKERS: print the state of each endpoint here, and the kinds that request classes require."""
+        endpoints, required_kinds = (await self.core.ask(EndpointsRequested)).to_wire()
+        return Reply(
+            True, "\n".join([_json({"needs": required_kinds}), *map(_json, endpoints), END_OF_LINES])
+        )
 
     async def drains(self, argument: str) -> Reply:
-        """DRAINS: the drains that stand; or put those of the argument in their place, if they are newer."""
+        """DRAINS: print the drains in force; with an argument, replace them unless the new ones are older."""
         if not argument:
             return Reply(
                 True, _json(drain_json.encode_drain_set(self.core.endpoints.drains, self.core.clock))
             )
         try:
-            wanted = drain_json.decode_drain_set(orjson.loads(argument), self.core.clock)
+            requested = drain_json.decode_drain_set(orjson.loads(argument), self.core.clock)
         except ValueError as error:
             return Reply(False, f"no set of drains: {error}".replace("\n", " "))
-        taken = await self.core.ask(DrainsChanged, wanted)
-        return Reply(taken, f"revision {self.core.endpoints.drains.revision} is in hand")
+        accepted = await self.core.ask(DrainsChanged, requested)
+        return Reply(accepted, f"revision {self.core.endpoints.drains.revision} is in hand")
 
     async def plan(self, argument: str) -> Reply:
-        """PLAN: follow the traffic plan of the argument, unless it is older; what is seen of the zones."""
-        # Loaded only here: most dispatchers follow no plan.
+        """PLAN: follow the traffic plan in the argument, unless it is older; print the zone statistics."""
+        # Imported only here: most dispatchers follow no plan.
         from dunepulley.net.plan_message import parse_plan
 
         try:
-            held = parse_plan(orjson.loads(argument or "{}"), self.core.clock)
+            lease = parse_plan(orjson.loads(argument or "{}"), self.core.clock)
         except ValueError as error:
             return Reply(False, f"no plan: {error}".replace("\n", " "))
-        if held is not None:
-            await self.core.ask(PlanReceived, held)
+        if lease is not None:
+            await self.core.ask(PlanReceived, lease)
         observed = (await self.core.ask(ZoneReportRequested)).to_wire()
         process = {
             "name": self.config.name,
--- a/dunepulley/net/callbacks.py
+++ b/dunepulley/net/callbacks.py
@@ -1,4 +1,4 @@
-"""Callbacks: what endpoints tell, by POST to the frontend's address, of the attempts that they accepted."""
+"""Callbacks: endpoints report the state of accepted attempts by POST to the frontend's address."""
 
 from __future__ import annotations
 
@@ -14,23 +14,23 @@
 
 PATH = "/v1/job-events"
 STATES = frozenset(CallbackState)
-STATUS_TAKEN = 204
+STATUS_NO_CONTENT = 204
 
 
 class MalformedError(Exception):
-    """What came in cannot be read; `args` are the HTTP status to answer with and the reason."""
+    """A received message is malformed; `args` are the HTTP status of the response and the reason."""
 
 
 def parse_callback(body: bytes) -> CallbackReceived:
-    """The callback that a body holds.
+    """Return the callback in a body.
 
     Raises:
-        MalformedError: the body holds none.
+        MalformedError: the body is not a valid callback.
     """
     try:
         fields = orjson.loads(body)
-    except orjson.JSONDecodeError as problem:
-        raise MalformedError(400, f"no JSON: {problem}") from problem
+    except orjson.JSONDecodeError as error:
+        raise MalformedError(400, f"no JSON: {error}") from error
     if not isinstance(fields, dict):
         raise MalformedError(400, "no JSON object")
     request_id, endpoint_id, state = fields.get("id"), fields.get("from"), fields.get("state")
@@ -53,26 +53,29 @@
 
 
 class Callbacks:
-    """Answers every callback, and puts it on the queue of the process that holds its request.
+    """Answers every callback, and passes it to the process in which its request is open.
 
     Args:
-        put: takes each callback whose request is held here, or nowhere.
-        holds: whether this process holds a request.
+        put: called with each callback whose request is open in this process, or in none.
+        has_request: whether a request is open in this process.
         counters: counts callbacks by their state.
     """
 
-    def __init__(self, put: Callable[[Any], None], holds: Callable[[str], bool], counters: Counters) -> None:
+    def __init__(
+        self, put: Callable[[Any], None], has_request: Callable[[str], bool], counters: Counters
+    ) -> None:
         self._put = put
-        self._holds = holds
+        self._has_request = has_request
         self._counters = counters
-        # During a hot restart: the status that the other process answers, None if it holds none.
+        # During a hot restart: forwards a callback to the other process and returns the status of its answer,
+        # or None if the request is not open there.
         self.forward: Callable[[bytes], Awaitable[int | None]] | None = None
 
     async def receive(self, body: bytes) -> web.Response:
-        """Take one callback.
+        """Process one callback.
 
         Raises:
-            MalformedError: it cannot be read.
+            MalformedError: the body is not a valid callback.
         """
         try:
             callback = parse_callback(body)
@@ -80,21 +83,21 @@
             self._counters[CALLBACKS_MALFORMED] += 1
             raise
         self._counters[callbacks_with(callback.state)] += 1
-        if self.forward is not None and not self._holds(callback.request_id):
+        if self.forward is not None and not self._has_request(callback.request_id):
             status = await self.forward(body)
             if status is not None:
                 return web.Response(status=status)
         self._put(callback)
-        return web.Response(status=STATUS_TAKEN)
+        return web.Response(status=STATUS_NO_CONTENT)
 
     def receive_forwarded(self, body: bytes) -> int | None:
-        """The status for a callback that reached another process; None if its request is not held here.
+        """Process a forwarded callback and return the status; None if its request is not open here.
 
         Raises:
-            MalformedError: it cannot be read.
+            MalformedError: the body is not a valid callback.
         """
         callback = parse_callback(body)
-        if not self._holds(callback.request_id):
+        if not self._has_request(callback.request_id):
             return None
         self._put(callback)
-        return STATUS_TAKEN
+        return STATUS_NO_CONTENT
--- a/dunepulley/net/command_executor.py
+++ b/dunepulley/net/command_executor.py
@@ -1,4 +1,4 @@
-"""Carries out the router's commands on sockets, timers and the log."""
+"""Executes the router's commands on sockets, timers and the log."""
 
 from __future__ import annotations
 
@@ -30,37 +30,37 @@
 
 
 class AttemptSender(Protocol):
-    """The upstream side: carries attempts and health checks to endpoints.
+    """The upstream client, which sends attempts and health checks to endpoints.
 
-    How each ends comes back as `AttemptFinished` and `HealthCheckEnded` on the queue.
+    It reports their results by putting `AttemptFinished` and `HealthCheckEnded` on the queue.
     """
 
     def start_attempt(self, attempt: UpstreamAttempt) -> None:
         """Send an attempt to its address."""
 
     def cancel_attempt(self, attempt: UpstreamAttempt, notify: bool) -> None:
-        """Stop an attempt; `notify` has the endpoint told, if it may have heard of it."""
+        """Stop an attempt; with `notify`, send a cancellation if the endpoint may have received it."""
 
     def check_health(self, endpoint_id: str, address: str) -> None:
-        """Ask an endpoint for its load report."""
+        """Request an endpoint's load report."""
 
 
 class GossipSender(Protocol):
-    """Carries gossip to the other dispatchers."""
+    """Sends gossip to the other dispatchers."""
 
     def send(self, message: SendGossip) -> None:
         """Send a message; it may be lost."""
 
 
 class CommandExecutor:
-    """Carries out commands, each at the time of the batch that it came from (Unix ms).
+    """Executes commands, each at the time of its batch (Unix ms).
 
-    `attempt_sender` and `gossip_sender` are to be set before the first command.
+    `attempt_sender` and `gossip_sender` must be set before the first command.
 
     Args:
         clock: the process's clock, Unix time in ms.
-        put: takes the messages on what became of a command.
-        cancel_notifies: whether an endpoint is told of an attempt that timed out.
+        put: called with the messages that report the result of a command.
+        cancel_notifies: whether a cancellation is sent to the endpoint when an attempt times out.
     """
 
     attempt_sender: AttemptSender
@@ -97,25 +97,25 @@
         }
 
     def execute(self, command: Command, now: float) -> None:
-        """Carry out one command.
+        """Execute one command.
 
         Raises:
-            LookupError: it names a request or an attempt that does not exist, or is no command.
+            LookupError: the request or attempt does not exist, or the command's type is unknown.
         """
         self._handlers[type(command)](command, now)
 
     # ---------------------------------------------------------------- attempts
 
     def _start_attempt(self, command: StartAttempt, now: float) -> None:
-        item = self._requests.get(command.request_id)
-        if item is None:
-            raise LookupError(f"an attempt of {command.request_id}, which is not open")
-        in_flight_there = item.is_in_flight_at(command.endpoint_id)
-        attempt = self._new_attempt(item, command, now)
-        item.attempts.append(attempt)
-        item.attempts_in_flight += 1
-        if item.answered or not attempt.address or in_flight_there:
-            # An endpoint takes one attempt of a request at a time; and an answered request is not sent.
+        open_request = self._requests.get(command.request_id)
+        if open_request is None:
+            raise LookupError(f"StartAttempt: request {command.request_id} is not open")
+        is_duplicate = open_request.is_in_flight_at(command.endpoint_id)
+        attempt = self._new_attempt(open_request, command, now)
+        open_request.attempts.append(attempt)
+        open_request.attempts_in_flight += 1
+        if open_request.answered or not attempt.address or is_duplicate:
+            # An endpoint runs one attempt of a request at a time, and an answered request needs no attempt.
             self._put(AttemptFinished(attempt, AttemptResult.NOT_SENT))
             return
         self._counters[ATTEMPTS_SENT] += 1
@@ -123,21 +123,21 @@
         attempt.timer = loop.call_at(attempt.deadline_s, self._time_out, attempt)
         self.attempt_sender.start_attempt(attempt)
 
-    def _new_attempt(self, item: OpenRequest, command: StartAttempt, now: float) -> UpstreamAttempt:
-        request = item.request
-        # Not after the request's own timeout: what the router is told has a floor, also past it.
+    def _new_attempt(self, open_request: OpenRequest, command: StartAttempt, now: float) -> UpstreamAttempt:
+        request = open_request.request
+        # Not after the request's own timeout: the one that the router gets has a minimum and may end later.
         request_deadline_ms = request.received_ms + request.arrived.timeout_ms
         start_before_ms = min(now + min(command.timeout_ms, command.start_within_ms), request_deadline_ms)
         attempt = UpstreamAttempt(
             request,
-            len(item.attempts),
+            len(open_request.attempts),
             command.endpoint_id,
             self._endpoints.addresses.get(command.endpoint_id, ""),
             command.timeout_ms,
             now,
             start_before_ms,
         )
-        # The timeout runs from the batch's time, however long the process was held up since.
+        # The timeout runs from the time of the batch, even if the process was stalled since then.
         attempt.deadline_s -= (self._clock() - now) / 1000.0
         return attempt
 
@@ -148,15 +148,15 @@
         self._stop(attempt, self._cancel_notifies)
 
     def _cancel_attempt(self, command: CancelAttempt, now: float) -> None:
-        item = self._requests.get(command.request_id)
-        attempt = item.attempts[command.attempt_number] if item is not None else None
+        open_request = self._requests.get(command.request_id)
+        attempt = open_request.attempts[command.attempt_number] if open_request is not None else None
         if attempt is None or attempt.result or attempt.cancelled:
             return
         self._counters[ATTEMPTS_CANCELLED] += 1
         self._stop(attempt, notify=True)
 
     def _stop(self, attempt: UpstreamAttempt, notify: bool) -> None:
-        """Stop an attempt; the endpoint is told at its present address."""
+        """Stop an attempt; a cancellation goes to the endpoint's present address."""
         attempt.address = self._endpoints.addresses.get(attempt.endpoint_id, attempt.address)
         self.attempt_sender.cancel_attempt(attempt, notify)
 
@@ -172,7 +172,7 @@
         if self._requests.answer(request_id, answer):
             self._statistics.unserved_requests += 1
 
-    # ---------------------------------------------------------------- all else
+    # ---------------------------------------------------------------- other commands
 
     def _check_health(self, command: CheckHealth, now: float) -> None:
         address = self._endpoints.addresses.get(command.endpoint_id)
--- a/dunepulley/net/config.py
+++ b/dunepulley/net/config.py
@@ -1,7 +1,7 @@
-"""The configuration of a dispatcher: a JSON file and the environment variables that go before it.
+"""The configuration of a dispatcher: a JSON file, and environment variables that override some of its keys.
 
-`read` returns one immutable `DispatcherConfig`, whose fields are named as the keys of the file are. Every
-problem is a `ConfigError` whose text names the file and what is wrong, in one line for the operator.
+`read` returns one immutable `DispatcherConfig`. Every problem is raised as a `ConfigError`, whose text names
+the file and the fault on one line for the operator.
 """
 
 from __future__ import annotations
@@ -24,48 +24,52 @@
 NAME_VARIABLE = "ROUTER_NAME"
 LISTEN_VARIABLE = "ROUTER_LISTEN"
 DISCOVERY_VARIABLE = "ROUTER_DISCOVERY"
-CONSOLE_VARIABLE = "ROUTER_CONSOLE"
+ADMIN_VARIABLE = "ROUTER_CONSOLE"
 TEMP_DIR_VARIABLE = "TMPDIR"
 
-DEFAULT_SOCKETS = 1024
+DEFAULT_MAX_DESCRIPTORS = 1024
 DEFAULT_MEMORY_MB = 192.0
 
 Address = tuple[str, int]
 
 
 class ConfigError(Exception):
-    """The configuration cannot be used; the text says why in one line."""
+    """The configuration cannot be used; the message states the reason on one line."""
 
 
 class TraceConfig(NamedTuple):
-    """Where a trace of requests is written, and after how many of them it ends."""
+    """The file that a trace of requests is written to, and the maximum number of requests in it."""
 
     path: str
     max_requests: int
 
 
 class DispatcherConfig(NamedTuple):
-    """All that a dispatcher is told at its start."""
+    """The configuration that a dispatcher starts with.
+
+    `initial_list` is the endpoint list used until discovery sends one. `peers` holds the addresses of all
+    dispatchers that exchange gossip, indexed by dispatcher number. Without `admin_address` there is no admin
+    interface.
+    """
 
     name: str
     listen: Address
     discovery: str
     seed: int
-    max_descriptors: int  # the most descriptors that it may have open
-    initial_list: EndpointList  # the endpoint list to begin with, until discovery tells another
+    max_descriptors: int  # limit on open file descriptors
+    initial_list: EndpointList
     settings: dict[str, object]
-    path: str = ""  # of the file that this was read from
-    peers: tuple[Address, ...] = ()  # the dispatchers that exchange gossip, by number
-    affinity_key_in_path: bool = (
-        False  # whether the last segment of a request's path is its cache affinity key
-    )
-    admin_address: Address | None = None  # of the admin interface; none without it
+    path: str = ""  # the configuration file
+    peers: tuple[Address, ...] = ()
+    # Whether the last segment of a request's path is its cache affinity key.
+    affinity_key_in_path: bool = False
+    admin_address: Address | None = None
     memory_mb: float = DEFAULT_MEMORY_MB
     trace: TraceConfig | None = None
-    drains: DrainSet = DrainSet()  # ends are moments of `clock`
-    events: bool = False  # whether every event and command is written to standard error
-    plan: bool = False  # whether it follows the fleet's traffic plan, told by the agent of its host
-    temp_dir: str = ""  # the directory where hot restarts meet; without it there are none
+    drains: DrainSet = DrainSet()  # expiry times are by `clock`
+    events: bool = False  # whether every router event and command is logged to standard error
+    follows_plan: bool = False  # whether it follows the fleet's traffic plan, sent by its host's agent
+    temp_dir: str = ""  # directory of the hot restart socket; empty disables hot restarts
     clock: Clock | None = None
 
     def summary(self) -> str:
@@ -81,26 +85,27 @@
 
 
 def read(environment: Mapping[str, str], path: str | None = None) -> DispatcherConfig:
-    """Return the configuration of the file at `path`, or of the one that the environment names.
+    """Return the configuration in the file at `path`, or in the file that the environment names.
 
-    Variables of the environment go before what the file says. Raises ConfigError.
+    Environment variables take precedence over the file. Raises ConfigError.
     """
     path = path or environment.get(CONFIG_VARIABLE)
     if not path:
-        raise ConfigError(f"no configuration: {CONFIG_VARIABLE} is not set")
+        raise ConfigError(f"no configuration file: {CONFIG_VARIABLE} is not set")
     document = _load(path)
     try:
         return _parse(document, environment, path)
     except KeyError as error:
-        raise ConfigError(f"{path}: {error} is missing") from error
+        raise ConfigError(f"{path}: required key {error} is missing") from error
     except (TypeError, ValueError, AttributeError) as error:
         raise ConfigError(f"{path}: {error}") from error
 
 
 def reread(config: DispatcherConfig) -> DispatcherConfig:
-    """Return what the file of a configuration holds now. Raises ConfigError.
+    """Read the file of a configuration again and return its present content. Raises ConfigError.
 
-    Name and address stay; where discovery is, the environment said for the start only.
+    The name and the listening address are kept. The address of discovery comes from the file: the environment
+    variable for it applies at the start only.
     """
     host, port = config.listen
     return read({NAME_VARIABLE: config.name, LISTEN_VARIABLE: f"{host}:{port}"}, config.path)
@@ -114,34 +119,35 @@
     except OSError as error:
         raise ConfigError(f"cannot read {path}: {error.strerror}") from error
     except orjson.JSONDecodeError as error:
-        raise ConfigError(f"{path} is no JSON: {error}") from error
+        raise ConfigError(f"{path} is not valid JSON: {error}") from error
     if not isinstance(document, dict):
-        raise ConfigError(f"{path} holds no JSON object")
+        raise ConfigError(f"{path}: expected a JSON object, got {type(document).__name__}")
     return document
 
 
 def _parse(document: dict[str, Any], environment: Mapping[str, str], path: str) -> DispatcherConfig:
-    """Return the configuration that a document holds.
+    """Return the configuration in a parsed document.
 
-    Raises KeyError where something is missing, and TypeError, ValueError or AttributeError where it is wrong.
+    Raises KeyError if a required key is missing, and TypeError, ValueError or AttributeError if a value is
+    invalid.
     """
     clock = Clock()
     limits = document.get("limits") or {}
     listen = environment.get(LISTEN_VARIABLE) or document["listen"]
     discovery = environment.get(DISCOVERY_VARIABLE) or document["discovery"]
     parse_address(discovery)
-    admin_address = environment.get(CONSOLE_VARIABLE) or document.get("console")
+    admin_address = environment.get(ADMIN_VARIABLE) or document.get("console")
     settings = flatten_settings(document["settings"])
     peers = _parse_peers(document.get("peers"), settings)
     return DispatcherConfig(
         name=environment.get(NAME_VARIABLE) or str(document.get("name", "")),
         affinity_key_in_path=_parse_flag(document, "by_key"),
-        plan=_parse_plan(document, settings),
+        follows_plan=_parse_plan(document, settings),
         listen=parse_address(listen),
         discovery=discovery,
         seed=int(str(document.get("seed", "0")), 16),
-        max_descriptors=int(limits.get("sockets", DEFAULT_SOCKETS)),
-        initial_list=_parse_known(document.get("known")),
+        max_descriptors=int(limits.get("sockets", DEFAULT_MAX_DESCRIPTORS)),
+        initial_list=_parse_initial_list(document.get("known")),
         settings=settings,
         path=path,
         peers=peers,
@@ -157,19 +163,19 @@
 def _parse_flag(document: dict[str, Any], name: str) -> bool:
     value = document.get(name, False)
     if not isinstance(value, bool):
-        raise ValueError(f"{name} is {value!r}, neither true nor false")
+        raise ValueError(f"{name}: expected true or false, got {value!r}")
     return value
 
 
 def _parse_plan(document: dict[str, Any], settings: dict[str, object]) -> bool:
-    """Return whether the dispatcher follows the traffic plan, which speaks of zones."""
+    """Return whether the dispatcher follows the traffic plan, which requires that its zone is set."""
     follows = _parse_flag(document, "plan")
     if follows and not settings.get("zone"):
-        raise ValueError("plan is true, but the settings name no zone")
+        raise ValueError("settings.zone: expected a zone name because plan is true, got none")
     return follows
 
 
-def _parse_known(value: Any) -> EndpointList:
+def _parse_initial_list(value: Any) -> EndpointList:
     if not value:
         return EndpointList(0, EndpointListUpdate(ListUpdateKind.FROM_DISK), {})
     return parse_endpoint_list(value, ListUpdateKind.FROM_DISK)
@@ -178,38 +184,41 @@
 def _parse_peers(value: Any, settings: dict[str, object]) -> tuple[Address, ...]:
     """Return the addresses of all dispatchers that exchange gossip, in the order of their numbers.
 
-    Without any, gossip is switched off in the settings: it would reach nobody. Raises ValueError where the
-    addresses do not fit the number of dispatchers in the settings.
+    If there are none, gossip is disabled in the settings, since no message could be delivered. Raises
+    ValueError if the addresses do not match the number of dispatchers in the settings.
     """
     if not value:
         settings["policyLimits.peers"] = False
         return ()
     if not isinstance(value, list):
-        raise ValueError("peers is no list")
+        raise ValueError(f"peers: expected a list of addresses, got {type(value).__name__}")
     peers = tuple([parse_address(address) for address in value])
     number, count = settings.get("me", 0.0), settings.get("balancers", 1.0)
     if len(peers) != count or not number < count:
         raise ValueError(
-            f"peers lists {len(peers)} dispatchers, of which this is number {number:g} of {count:g}"
+            f"peers lists {len(peers)} dispatchers, but the settings make this number {number:g} of {count:g}"
         )
     return peers
 
 
 def parse_trace(value: Any) -> TraceConfig | None:
-    """Return where a trace goes; None where none is asked for. Raises ValueError on anything else."""
+    """Return the configuration of the request trace; None if none is configured.
+
+    Raises ValueError if the value is neither null nor an object with `path` and a positive integer `most`.
+    """
     if value is None:
         return None
-    path, most = (value.get("path"), value.get("most")) if isinstance(value, dict) else (None, None)
-    if not isinstance(path, str) or isinstance(most, bool) or not isinstance(most, int) or most < 1:
+    path, limit = (value.get("path"), value.get("most")) if isinstance(value, dict) else (None, None)
+    if not isinstance(path, str) or isinstance(limit, bool) or not isinstance(limit, int) or limit < 1:
         raise ValueError(f"trace is {value!r}, no path with the most items it may hold")
-    return TraceConfig(path, min(most, MAX_TRACE_REQUESTS))
+    return TraceConfig(path, min(limit, MAX_TRACE_REQUESTS))
 
 
 def read_drains(path: Any, clock: Clock | None = None) -> DrainSet:
-    """Return the drains in the file that the host's agent keeps, their ends as moments of this clock.
+    """Return the drains in the file that the host's agent writes, with expiry times by this clock.
 
-    None stand where there is no path or no file. Raises ValueError where the file cannot be read: to serve
-    without its drains could send requests where none may go.
+    The set is empty if there is no path or no file. Raises ValueError if the file cannot be read or parsed:
+    without its drains, requests could be sent to drained endpoints.
     """
     if path is None:
         return DrainSet()
--- a/dunepulley/net/core.py
+++ b/dunepulley/net/core.py
@@ -1,8 +1,8 @@
-"""The event loop around the router: the one task that owns it, its queue and its clock.
+"""The event loop around the router: one task owns the router, its queue and its clock.
 
-Other parts of the process reach the router only by `Core.put` and `Core.ask`. Messages wait in a queue; the
-task takes those that wait as one batch, turns them into the router's events, and has the commands that come
-back carried out. No decision on requests is made here.
+Other parts of the process reach the router only through `Core.put` and `Core.ask`. Messages are queued; the
+task takes all queued messages as one batch, converts them to router events, and executes the commands that
+the router returns. No decisions about requests are made here.
 """
 
 from __future__ import annotations
@@ -57,35 +57,35 @@
 )
 from dunepulley.routing.router import Router
 
-# After a fault the router is woken this soon: what was due may have lost its timer.
+# Delay of the timer event that is sent to the router after a fault, which may have lost one of its timers.
 WAKE_AFTER_FAULT_S = 0.01
 
 
 class EventFeed:
-    """Hands events on one by one and remembers how far it got, so that a fault loses no more than one."""
+    """Iterates over events and keeps its position, so that an exception loses at most one event."""
 
     def __init__(self, events: list[Event]) -> None:
-        self.left = deque(events)
+        self.remaining = deque(events)
         self.current: Event | None = None  # None between two events and after the last
 
     def __iter__(self) -> Iterator[Event]:
-        while self.left:
-            self.current = self.left.popleft()
+        while self.remaining:
+            self.current = self.remaining.popleft()
             yield self.current
             self.current = None
 
 
 class Core:
-    """Owns the `Router`, its queue, and the parts that keep its requests, endpoints and timers.
+    """Owns the `Router`, its queue, and the tables of requests, endpoints and timers.
 
-    `now` is the time of the present batch, `clock` the time of this moment; both are Unix time in ms.
+    `now` is the time of the current batch and `clock` returns the present time; both are Unix time in ms.
     """
 
     def __init__(
         self,
         seed: int,
         settings: dict[str, object],
-        known: EndpointList,
+        initial_list: EndpointList,
         counters: Counters,
         clock: Clock | None = None,
     ) -> None:
@@ -95,7 +95,7 @@
         self.counters = counters
         self.queue: asyncio.Queue[Any] = asyncio.Queue()
         self.events: list[Event] = []
-        # What goes through the router is written here, where `serve --events` asks for it.
+        # Records the router's events and commands; set if `serve --events` was given.
         self.event_log: EventLog | None = None
         self.router = Router(seed, settings, self.now)
         self.requests = RequestTable()
@@ -112,34 +112,35 @@
             counters,
             cancel_notifies=bool(settings.get("policyLimits.cancel")),
         )
-        self.put(known)
+        self.put(initial_list)
 
-    # ---------------------------------------------------------------- for other parts of the process
+    # ---------------------------------------------------------------- called by other parts of the process
 
     def put(self, message: Any) -> None:
-        """Leave a message for the task: one of `net.messages`, a router event, or a `EndpointList`."""
+        """Queue a message for the task: one of `net.messages`, a router event, or an `EndpointList`."""
         self.queue.put_nowait(message)
 
     async def ask(self, kind: Callable[..., Any], *fields: Any) -> Any:
-        """Leave a message whose last field is the future of its answer, and wait for that."""
+        """Queue a message whose last field is the future of its answer, and wait for the answer."""
         answer = asyncio.get_running_loop().create_future()
         self.put(kind(*fields, answer))
         return await answer
 
     def log_event(self, text: str) -> None:
-        """Write to the event log what the router is not told of."""
+        """Write an entry to the event log for something that is not a router event."""
         if self.event_log is not None:
             self.event_log.write_line(self.clock(), text)
 
     def can_serve(self) -> bool:
-        """Whether an endpoint is ready."""
+        """Whether at least one endpoint is ready."""
         return bool(self.endpoints.ready_ids)
 
     def may_begin(self, attempt: UpstreamAttempt) -> bool:
-        """Whether an attempt may still start: asked directly before the first byte of each.
+        """Whether an attempt may still start; called immediately before its first byte is sent.
 
-        Guards against all that changes after the decision, while a connection comes up or is waited for: the
-        client disconnects, the endpoint drains or starts anew elsewhere, a timeout or a retry window ends.
+        Guards against changes since the routing decision, while the connection was established or waited for:
+        the client disconnected, the endpoint is draining or restarted at another address, or a timeout or a
+        retry window ended.
         """
         request = attempt.request
         if attempt.cancelled or request.answer.done():
@@ -148,7 +149,8 @@
             return False
         if self.clock() >= attempt.start_before_ms:
             return False
-        # Asked last, behind the clock: a close that came while the process was held up is not read yet.
+        # Checked last, after the clock: the event loop may not have read a close that arrived while the
+        # process was stalled.
         if request.client_closed():
             self.put(ClientGone(request))
             return False
@@ -157,7 +159,7 @@
     # ---------------------------------------------------------------- the loop
 
     async def run(self) -> None:
-        """Take what waits as one batch, until the task is cancelled."""
+        """Process all queued messages as one batch, repeatedly, until the task is cancelled."""
         queue = self.queue
         try:
             while True:
@@ -176,7 +178,7 @@
             self.timers.cancel_all()
 
     def _decide(self) -> None:
-        """Give the router the events of the batch and have its commands carried out."""
+        """Pass the events of the batch to the router and execute the commands that it returns."""
         events = in_order(self.events)
         self.events = []
         if self.event_log is not None:
@@ -186,7 +188,7 @@
             try:
                 commands = self.router.handle(self.now, feed)
             except Exception:
-                # A fault must neither end this task nor leave the rest of the batch unread.
+                # An exception must not end this task, nor prevent the rest of the batch from being processed.
                 commands = self.router.commands
                 self._recover(feed.current)
             if self.event_log is not None:
@@ -196,22 +198,22 @@
                     self.executor.execute(command, self.now)
                 except Exception:
                     self._log_fault("command", command)
-            if not feed.left:
+            if not feed.remaining:
                 return
 
     def _recover(self, event: Event | None) -> None:
-        """Fail the request whose event the router failed on, and wake the router soon."""
+        """Fail the request whose event raised an exception in the router, and schedule a timer event."""
         self._log_fault("event", event)
-        item = self.requests.get(getattr(event, "request_id", ""))
-        if item is not None and not item.answered:
-            self.put(ClientGone(item.request))
-            item.request.settle(Answer(Fail))
+        open_request = self.requests.get(getattr(event, "request_id", ""))
+        if open_request is not None and not open_request.answered:
+            self.put(ClientGone(open_request.request))
+            open_request.request.settle(Answer(Fail))
         asyncio.get_running_loop().call_later(WAKE_AFTER_FAULT_S, self.put, TimerFired(0))
 
-    def _log_fault(self, where: str, what: object) -> None:
+    def _log_fault(self, stage: str, cause: object) -> None:
         self.counters[FAULTS] += 1
         text = traceback.format_exc(limit=-3).strip()
-        log.write(LogEvent.FAULT, f"{where} {type(what).__name__}: {text}")
+        log.write(LogEvent.FAULT, f"{stage} {type(cause).__name__}: {text}")
 
     def _add_event(self, event: Event) -> None:
         self.events.append(event)
@@ -224,7 +226,7 @@
         arrived = request.arrived
         if self.endpoints.follower is not None:
             self.statistics.expected_work_ms += inspection.expected_work(self.router, arrived)
-        # Its timeout has run since it was received, however long it waited in the queue.
+        # The timeout runs from the time of receipt, including the time that the request waited in the queue.
         timeout_ms = max(MIN_TIMEOUT_MS, arrived.timeout_ms - (self.now - request.received_ms))
         self.events.append(arrived._replace(timeout_ms=timeout_ms))
 
@@ -237,8 +239,8 @@
         self._end_attempt(message.attempt, message.result, message.load_report)
 
     def _on_callback(self, message: CallbackReceived) -> None:
-        item = self.requests.get(message.request_id)
-        attempts = item.attempts_at(message.endpoint_id) if item is not None else []
+        open_request = self.requests.get(message.request_id)
+        attempts = open_request.attempts_at(message.endpoint_id) if open_request is not None else []
         if not attempts or attempts[-1].result:
             self.counters[CALLBACKS_STRAY] += 1
             return
@@ -277,23 +279,24 @@
             self._schedule_refresh()
 
     def _may_send_changes(self) -> bool:
-        """Whether of a full list the router needs to be told only what differs from the one in hand.
+        """Whether a full list may be passed to the router as its differences from the current one.
 
-        Not where a size that is reported again is news (`live`), nor after a fault, which loses an event.
+        False with the weight source `live`, where a repeated report of a size is new information, and after
+        a fault, which may have lost an event.
         """
         return self.settings.get("weightSource") != "live" and not self.counters[FAULTS]
 
     def _on_drains(self, message: DrainsChanged) -> None:
-        taken = self.endpoints.take_drains(message.drains)
-        if taken:
+        accepted = self.endpoints.apply_drains(message.drains)
+        if accepted:
             self._refresh_endpoints()
-        resolve(message.answer, taken)
+        resolve(message.answer, accepted)
 
     def _on_plan(self, message: PlanReceived) -> None:
-        taken = self.endpoints.take_plan(message.held)
-        if taken:
+        accepted = self.endpoints.apply_plan(message.lease)
+        if accepted:
             self._refresh_endpoints()
-        resolve(message.answer, taken)
+        resolve(message.answer, accepted)
 
     def _on_refresh_due(self, message: EndpointRefreshDue) -> None:
         self._refresh_endpoints()
@@ -305,7 +308,7 @@
     def _schedule_refresh(self) -> None:
         self.timers.schedule_refresh(self.endpoints.next_refresh_ms(self.now))
 
-    # ---------------------------------------------------------------- questions
+    # ---------------------------------------------------------------- queries
 
     def _on_endpoint_count_requested(self, message: EndpointCountRequested) -> None:
         resolve(message.answer, inspection.count_endpoints(self.router))
@@ -327,7 +330,7 @@
 
 
 def resolve(answer: asyncio.Future[Any], value: object) -> None:
-    """Answer a question, unless whoever asked no longer waits."""
+    """Set the result of a query's future, unless the caller no longer waits for it."""
     if not answer.done():
         answer.set_result(value)
 
--- a/dunepulley/net/counters.py
+++ b/dunepulley/net/counters.py
@@ -1,6 +1,6 @@
-"""What was received, sent and answered, by name; printed on SIGUSR1 and at exit.
+"""The counters of a dispatcher, by name; printed on SIGUSR1 and at exit.
 
-The names stand on the pages for on-call engineers: they stay, whatever the code calls these things.
+The runbooks of on-call engineers refer to these names, so they stay, even where the code uses other terms.
 """
 
 from __future__ import annotations
@@ -14,23 +14,23 @@
 ATTEMPTS_SENT = "ho sent"
 ATTEMPTS_CANCELLED = "ho taken back"
 HEALTH_CHECKS = "probes"
-# Attempts whose last byte has left the process.
+# Attempts whose last byte was written.
 ATTEMPTS_WRITTEN = "sends"
 
 
 class Counters(Counter):
-    """Names to whole numbers."""
+    """Counts by name."""
 
     def text(self) -> str:
-        """All counters on one line."""
+        """Return all counters on one line."""
         return " ".join([f"{name}={number}" for name, number in sorted(self.items())])
 
 
 def attempts_with(result: str) -> str:
-    """The counter of the attempts that ended with an `AttemptResult`."""
+    """Return the name of the counter of attempts that ended with an `AttemptResult`."""
     return f"ho {result}"
 
 
 def callbacks_with(state: str) -> str:
-    """The counter of the callbacks of a `CallbackState`."""
+    """Return the name of the counter of callbacks with a `CallbackState`."""
     return f"callbacks {state}"
--- a/dunepulley/net/discovery.py
+++ b/dunepulley/net/discovery.py
@@ -1,7 +1,7 @@
-"""The endpoint list of a discovery service: a watch that is opened again whenever it ends or falls silent.
+"""The endpoint list of a discovery service, followed by a watch that is reopened whenever it ends or is idle.
 
-A watch is one HTTP response without end, to a call that names the revision in hand. Each line is a message
-with the whole list or what has changed; an empty line comes every 2 s while there is none.
+A watch is one endless HTTP response to a call that names the current revision. Each line is a message with
+the full list or with changes; discovery sends an empty line every 2 s while there is no message.
 """
 
 from __future__ import annotations
@@ -21,20 +21,20 @@
 from dunepulley.net.log_events import LogEvent
 from dunepulley.net.system_errors import is_local_error
 
-# After a call that failed on this host: it has cost discovery nothing, and puts nothing off.
+# Delay after a call that failed on this host: it put no load on discovery, so no backoff is needed.
 LOCAL_FAULT_RETRY_S = 0.1
-# Between parsing and reading a line of this length, what waits meanwhile has its turn.
+# After parsing a line longer than this, other tasks of the event loop run before its list is processed.
 LONG_LINE_BYTES = 64 * 1024
-WHOLE_LIST = 0  # the revision from which on discovery sends a whole list
+FULL_LIST_REVISION = 0  # a call that names this revision gets the full list
 OK, TOO_MANY_REQUESTS, FIRST_SERVER_ERROR = 200, 429, 500
 
 
 class RefusedError(Exception):
-    """Discovery refused a call; what it said before still stands."""
+    """Discovery refused a call; the list received before remains valid."""
 
 
 class Discovery:
-    """Owns the watch and its connection, and puts each message into the queue of the router's task."""
+    """Owns the watch and its connection, and queues each message for the router's task."""
 
     def __init__(
         self,
@@ -50,12 +50,12 @@
         self.put = put
         self.counters = counters
         self.log_event: Callable[[str], None] = lambda text: None
-        # Whether the present call was answered, and whether it has brought a complete line.
+        # Whether the present call has a response, and whether a complete line was received on it.
         self.responded = self.received = False
-        self.first_message = asyncio.Event()  # once any watch has brought a complete line
-        # When the list in hand was last known to be current, or discovery was last called and not reached, in
-        # s of the event loop's clock.
-        self.current_at = 0.0
+        self.first_message = asyncio.Event()  # set once a complete line was received on any watch
+        # When the list was last known to be current, or when the last call was made that did not reach
+        # discovery; by the event loop's clock.
+        self.current_at_s = 0.0
 
     async def run(self) -> None:
         """Keep a watch open; never returns."""
@@ -67,56 +67,56 @@
         async with aiohttp.ClientSession(
             connector=connector, timeout=timeout, cookie_jar=aiohttp.DummyCookieJar(), trust_env=False
         ) as session:
-            self.current_at = clock()
+            self.current_at_s = clock()
             while True:
                 end = await self._call(session)
                 if end is None:
                     await asyncio.sleep(LOCAL_FAULT_RETRY_S)
                     continue
                 self.counters["discovery watches ended"] += 1
-                age_s = clock() - self.current_at
+                age_s = clock() - self.current_at_s
                 await asyncio.sleep(self.backoff.next_delay_s(end, self.received, age_s))
 
     async def _call(self, session: aiohttp.ClientSession) -> WatchEnd | None:
-        """Open a watch and follow it; return how it ended, or None where it failed on this host."""
+        """Open a watch and follow it; return how it ended, or None if it failed because of this host."""
         self.responded = self.received = False
-        called_at = asyncio.get_running_loop().time()
+        called_at_s = asyncio.get_running_loop().time()
         self.counters["discovery calls"] += 1
         self.log_event(f"list-call {self.revision}")
         try:
             await self._watch(session)
             log.write(LogEvent.DISCOVERY, "the watch ended")
         except (aiohttp.ClientError, OSError) as error:
-            return self._call_failed(error, called_at)
+            return self._call_failed(error, called_at_s)
         except RefusedError as error:
-            # The list in hand still stands, and to have it whole would cost discovery the most.
+            # The current list remains valid, and requesting a full list would cost discovery the most.
             self.counters["discovery refusals"] += 1
             self.log_event("list-refused")
             log.write(LogEvent.DISCOVERY, str(error))
             return WatchEnd.REFUSED
         except ValueError as error:
-            # What it said is lost: have the whole list next.
-            self.revision = WHOLE_LIST
-            log.write(LogEvent.DISCOVERY, f"what came is no list: {error}")
-        return WatchEnd.CUT
+            # The message is lost: request the full list next.
+            self.revision = FULL_LIST_REVISION
+            log.write(LogEvent.DISCOVERY, f"invalid message from discovery at {self.address}: {error}")
+        return WatchEnd.INTERRUPTED
 
-    def _call_failed(self, error: Exception, called_at: float) -> WatchEnd | None:
+    def _call_failed(self, error: Exception, called_at_s: float) -> WatchEnd | None:
         if not self.responded and is_local_error(error):
             self.counters["discovery calls failed here"] += 1
-            log.write(LogEvent.DISCOVERY, f"no call could be made: {error}")
+            log.write(LogEvent.DISCOVERY, f"cannot call discovery because of an error on this host: {error}")
             return None
         if not self.responded and isinstance(error, aiohttp.ClientConnectorError | TimeoutError):
-            # What it has to tell counts as told only some time after it can be reached again. A call that it
-            # refuses, or cuts, puts nothing off.
-            self.current_at = called_at
-        log.write(LogEvent.DISCOVERY, f"the watch broke: {type(error).__name__} {error}")
-        return WatchEnd.CUT
+            # The staleness bound applies only while discovery can be reached, so it restarts here. A call
+            # that discovery refuses or closes does not restart it.
+            self.current_at_s = called_at_s
+        log.write(LogEvent.DISCOVERY, f"the watch failed: {type(error).__name__} {error}")
+        return WatchEnd.INTERRUPTED
 
     async def _watch(self, session: aiohttp.ClientSession) -> None:
         """Follow one watch from its call to its end.
 
-        Raises RefusedError where discovery refuses it, ValueError where what came is no list, and OSError or
-        ClientError where the connection fails.
+        Raises RefusedError if discovery refuses the call, ValueError if a message or the status is invalid,
+        and OSError or ClientError if the connection fails.
         """
         url = f"http://{self.address}/catalog/members?stream=1&index={self.revision}"
         async with contextlib.AsyncExitStack() as stack:
@@ -124,28 +124,28 @@
                 response = await stack.enter_async_context(session.get(url))
             self.responded = True
             if response.status == TOO_MANY_REQUESTS or response.status >= FIRST_SERVER_ERROR:
-                raise RefusedError(f"discovery answered {response.status}")
+                raise RefusedError(f"discovery at {self.address} refused: status {response.status}")
             if response.status != OK:
-                raise ValueError(f"discovery answered {response.status}")
+                raise ValueError(f"expected status {OK}, got {response.status}")
             lines = JsonLines()
             async for chunk in response.content.iter_any():
                 for line in lines.split(chunk):
-                    await self._take_line(lines, line)
-        # What is left of a line that was cut is no message.
+                    await self._process_line(lines, line)
+        # An incomplete last line is discarded.
 
-    async def _take_line(self, lines: JsonLines, line: bytes) -> None:
+    async def _process_line(self, lines: JsonLines, line: bytes) -> None:
         document: Any = lines.parse(line)
         if document is LineKind.INCOMPLETE:
             return
         if document is not LineKind.EMPTY:
             if len(line) > LONG_LINE_BYTES:
                 await asyncio.sleep(0)
-            self._take_list(parse_endpoint_list(document))
+            self._process_list(parse_endpoint_list(document))
         self.received = True
-        self.current_at = asyncio.get_running_loop().time()
+        self.current_at_s = asyncio.get_running_loop().time()
         self.first_message.set()
 
-    def _take_list(self, endpoint_list: EndpointList) -> None:
+    def _process_list(self, endpoint_list: EndpointList) -> None:
         self.revision = endpoint_list.revision
         self.counters["lists"] += 1
         self.put(endpoint_list)
--- a/dunepulley/net/discovery_watch.py
+++ b/dunepulley/net/discovery_watch.py
@@ -1,4 +1,4 @@
-"""The watch on discovery: which service it is, and its change on a reload (SIGHUP)."""
+"""The watch on discovery: the address of the service, and its replacement on a reload (SIGHUP)."""
 
 from __future__ import annotations
 
@@ -10,13 +10,13 @@
 from dunepulley.net.config import ConfigError, DispatcherConfig, reread
 from dunepulley.net.core import Core
 from dunepulley.net.counters import Counters
-from dunepulley.net.discovery import WHOLE_LIST, Discovery
+from dunepulley.net.discovery import FULL_LIST_REVISION, Discovery
 from dunepulley.net.list_polling import PollBackoff
 from dunepulley.net.log_events import LogEvent
 
 
 class DiscoveryWatch:
-    """Owns the task that follows the endpoint list; at any time there is one at most."""
+    """Owns the task that follows the endpoint list; at most one exists at a time."""
 
     def __init__(
         self,
@@ -25,7 +25,7 @@
         counters: Counters,
         on_ended: Callable[[asyncio.Task], None],
     ) -> None:
-        """`on_ended` is called when a watch ends, which none does by itself."""
+        """`on_ended` is called when the task of a watch ends: it was cancelled, or it failed."""
         self.address = config.discovery
         self.core = core
         self.counters = counters
@@ -40,30 +40,30 @@
         self.first_message: asyncio.Event
 
     def start(self) -> None:
-        """Watch from the revision of the configured list on."""
-        # A reload may have come first: the revisions of one discovery say nothing to another.
+        """Start watching, from the revision of the configured list on."""
+        # A reload may have changed the address already, and revisions of one service mean nothing to another.
         unchanged = self.address == self._configured_address
-        self._watch(self._configured_revision if unchanged else WHOLE_LIST)
+        self._watch(self._configured_revision if unchanged else FULL_LIST_REVISION)
 
     def reload(self, config: DispatcherConfig) -> None:
-        """Read the file of a configuration again, and watch the discovery that it names now.
+        """Read the configuration file again, and watch the discovery service that it names now.
 
-        All else in the file holds from the next start on; requests in flight are not disturbed. A file that
-        cannot be used, as it may be half written or gone, changes nothing.
+        Other changes in the file take effect at the next start; requests in flight are not affected. A file
+        that cannot be used, for example because it is incomplete or missing, changes nothing.
         """
         self.counters["reloads"] += 1
         try:
             address = reread(config).discovery
         except ConfigError as error:
-            log.write(LogEvent.RELOAD, f"the old configuration goes on: {error}")
+            log.write(LogEvent.RELOAD, f"the old configuration stays in force: {error}")
             return
         if address != self.address:
-            log.write(LogEvent.RELOAD, f"discovery is at {address} now")
+            log.write(LogEvent.RELOAD, f"the address of discovery changed to {address}")
             self.address = address
-            self._watch(WHOLE_LIST)
+            self._watch(FULL_LIST_REVISION)
 
     def _watch(self, revision: int) -> None:
-        """Watch the present discovery from a revision on, in place of the watch before, if any."""
+        """Watch the present discovery service from a revision on, replacing the previous watch if any."""
         self.cancel()
         self.backoff = PollBackoff(Random(self._seed), self._dispatchers, self._pushed)
         discovery = Discovery(self.address, revision, self.core.put, self.counters, self.backoff)
--- a/dunepulley/net/endpoint_list.py
+++ b/dunepulley/net/endpoint_list.py
@@ -1,6 +1,7 @@
-"""The endpoint list in discovery's JSON form: one message of a watch, read and written.
+"""The endpoint list in discovery's JSON form: parsing and formatting of one message of a watch.
 
-The same form stands under `known` in the configuration and goes from parent to child in a hot restart.
+The same form is used under the key `known` of the configuration, and between parent and child in a hot
+restart.
 """
 
 from __future__ import annotations
@@ -21,10 +22,10 @@
 
 
 class EndpointList(NamedTuple):
-    """A whole list or a change of it, as discovery sent it.
+    """A full list, or changes to it, as discovery sent them.
 
-    `revision` numbers the lists of one discovery service, `update` is what the router is told, and
-    `addresses` holds `host:port` by endpoint id, for those endpoints that have a usable one.
+    `revision` numbers the lists of one discovery service, `update` is the router's event, and `addresses`
+    holds `host:port` by endpoint id, for the endpoints with a valid address.
     """
 
     revision: int
@@ -33,10 +34,10 @@
 
 
 def parse_endpoint_list(message: dict[str, Any], kind: ListUpdateKind | None = None) -> EndpointList:
-    """Return the endpoint list that a message holds; without `kind` the message says what kind it is.
+    """Return the endpoint list in a message; without `kind`, the message determines the kind of update.
 
-    Raises ValueError where the message has another form. An endpoint with an unknown phase, or with no
-    usable address, counts as draining and takes nothing away from the others.
+    Raises ValueError if the message is malformed. An endpoint with an unknown phase or without a valid
+    address counts as draining, and the rest of the list stays usable.
     """
     entries: list[EndpointEntry] = []
     addresses: dict[str, str] = {}
@@ -47,15 +48,15 @@
         kind = kind or (ListUpdateKind.FULL if message.get("complete") else ListUpdateKind.CHANGES)
         revision = int(message.get("revision", 0))
     except (KeyError, TypeError, AttributeError) as error:
-        raise ValueError(f"no list of workers: {error!r}") from error
+        raise ValueError(f"malformed endpoint list: {error!r}") from error
     return EndpointList(revision, EndpointListUpdate(kind, tuple(entries)), addresses)
 
 
 def _parse_member(member: dict[str, Any], addresses: dict[str, str]) -> EndpointEntry:
-    """Return the entry of one member, and put its address into `addresses` if it is usable."""
+    """Return the entry of one member, and add its address to `addresses` if it is valid."""
     endpoint_id, address = member["id"], member.get("host_port")
     if not isinstance(endpoint_id, str):
-        raise ValueError("a worker's id is no text")
+        raise ValueError(f"members: expected a string as id, got {endpoint_id!r:.60}")
     state = STATE_BY_PHASE.get(member.get("phase"), EndpointState.DRAINING)
     try:
         parse_address(address)
@@ -77,7 +78,7 @@
 def format_endpoint_list(
     entries: Iterable[EndpointEntry], addresses: Mapping[str, str], revision: int
 ) -> dict[str, Any]:
-    """Return a whole list in discovery's form, as `parse_endpoint_list` reads it."""
+    """Return a full list in discovery's form, as `parse_endpoint_list` reads it."""
     return {
         "revision": revision,
         "complete": True,
--- a/dunepulley/net/event_log.py
+++ b/dunepulley/net/event_log.py
@@ -1,8 +1,8 @@
-"""The event log: what goes through the router, as lines on standard error, to be counted across a fleet.
+"""The event log: router events and commands as lines on standard error, for statistics over a fleet.
 
-Off unless `serve --events` asks for it. A line is `= <Unix ms> <word> <fields>`, set apart by single spaces;
-the first of a process is `= <Unix ms> events <format version> <name>`. `bench/fleet.py` reads the lines and
-says what each word means.
+Disabled unless `serve --events` was given. A line is `= <Unix ms> <word> <fields>`, separated by single
+spaces; the first line of a process is `= <Unix ms> events <format version> <name>`. `bench/fleet.py` reads
+the lines and documents each word.
 """
 
 from __future__ import annotations
@@ -27,7 +27,7 @@
 COUNTED_STATES = (EndpointState.READY, EndpointState.DRAINING, EndpointState.REMOVED)
 
 
-def _one_word(text: str) -> str:
+def _hyphenated(text: str) -> str:
     return text.replace(" ", "-")
 
 
@@ -40,19 +40,21 @@
 
 def _attempt_ended(event: AttemptEnded) -> str:
     return (
-        f"ended {event.request_id} {event.endpoint_id} {_one_word(event.result)}"
+        f"ended {event.request_id} {event.endpoint_id} {_hyphenated(event.result)}"
         f" {event.duration_ms:.0f} {event.attempt_number}"
     )
 
 
 def _health_check_ended(event: HealthCheckEnded) -> str:
-    return f"probed {event.endpoint_id} {_one_word(event.result)} {event.duration_ms:.1f} {event.load_report}"
+    return (
+        f"probed {event.endpoint_id} {_hyphenated(event.result)} {event.duration_ms:.1f} {event.load_report}"
+    )
 
 
 def _endpoint_list_update(event: EndpointListUpdate) -> str:
     states = [entry.state for entry in event.entries]
     counts = " ".join([str(states.count(state)) for state in COUNTED_STATES])
-    return f"list {_one_word(event.kind)} {counts}"
+    return f"list {_hyphenated(event.kind)} {counts}"
 
 
 FORMATTERS: dict[type, Callable[[Any], str]] = {
@@ -71,23 +73,23 @@
 
 
 class EventLog:
-    """Writes the lines of a batch at once, so that none is cut when the process is killed.
+    """Writes the lines of a batch with one call, so that no line is incomplete if the process is killed.
 
     Args:
-        name: the dispatcher's.
+        name: the name of the dispatcher.
         now: Unix time in ms.
     """
 
     def __init__(self, name: str, now: float) -> None:
         self._write([f"= {now:.1f} events {FORMAT_VERSION} {name}"])
 
-    def write_batch(self, now: float, items: Iterable[Any]) -> None:
-        """Write the events or the commands of one batch; those that nobody counts are left out."""
-        formatted = [FORMATTERS[type(item)](item) for item in items if type(item) in FORMATTERS]
+    def write_batch(self, now: float, entries: Iterable[Any]) -> None:
+        """Write the events or the commands of one batch; types without a formatter are omitted."""
+        formatted = [FORMATTERS[type(entry)](entry) for entry in entries if type(entry) in FORMATTERS]
         self._write([f"= {now:.1f} {text}" for text in formatted])
 
     def write_line(self, now: float, text: str) -> None:
-        """Write what the router is not told of: calls for the endpoint list, and rejected requests."""
+        """Write an entry for something that is no router event: discovery calls, and rejected requests."""
         self._write([f"= {now:.1f} {text}"])
 
     @staticmethod
@@ -97,4 +99,4 @@
         try:
             os.write(sys.stderr.fileno(), ("\n".join(lines) + "\n").encode("utf-8", "replace"))
         except OSError:
-            pass  # nobody reads it any more: no reason to stop serving
+            pass  # the reader of standard error is gone; keep serving
--- a/dunepulley/net/frontend/__init__.py
+++ b/dunepulley/net/frontend/__init__.py
@@ -1,6 +1,6 @@
-"""The front end: requests from clients, callbacks from endpoints and health checks come in at one address.
+"""The HTTP front end: client requests, endpoints' callbacks and health checks arrive at one address.
 
-`server.FrontendServer` owns the listening socket and answers; `connection.Connection` is one connection that
-comes in, `connection_table.ConnectionTable` decides which is closed when there are too many, `framing` tells
-where a request ends, and `request_parser` what it holds.
+`server.FrontendServer` owns the listening socket and writes responses. `connection.Connection` is one
+incoming connection, `connection_table.ConnectionTable` decides which connections to close when there are too
+many, `framing` finds the end of a request, and `request_parser` parses it.
 """
--- a/dunepulley/net/frontend/connection.py
+++ b/dunepulley/net/frontend/connection.py
@@ -1,4 +1,4 @@
-"""One connection that comes in: its requests one after the other, and the times that they may take."""
+"""One incoming connection: its requests, one after the other, and their timeouts."""
 
 from __future__ import annotations
 
@@ -15,28 +15,29 @@
 if TYPE_CHECKING:
     from dunepulley.net.frontend.connection_table import ConnectionTable
 
-# From the connection's begin, or from the request's first byte: who waits for an answer is owed one within
-# 3 s of connecting. A request that is not whole by then has paused for less than a second, or is not coming.
+# Time for a request to arrive, from when the connection opened or from the request's first byte: a client
+# must get a response within 3 s of connecting. A request that is incomplete by then is given more time only
+# while its last bytes arrived less than `MAX_PAUSE_S` ago.
 REQUEST_TIMEOUT_S = 2.0
 MAX_PAUSE_S = 1.0
 # A connection that waits for its next request is closed after this.
 KEEP_ALIVE_TIMEOUT_S = 75.0
-# Nobody needs longer to send 64 KB.
+# Upper limit for the whole request: no working client needs longer to send 64 KB.
 MAX_REQUEST_S = 10.0
-# How long an answer may take to be read by someone who is still sending.
+# Time to read the response that rejects a request, for a client that is still sending.
 LINGER_S = 0.25
-# What the system tells of a socket whose other end is closed, half-closed or reset.
+# Poll events of a socket that the client has closed, half-closed or reset.
 CLOSED_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 CONTINUE_RESPONSE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class Connection(asyncio.Protocol):
-    """One connection that comes in.
+    """One incoming connection.
 
-    Bytes wait here until a request is whole, and only a whole one goes on to the library. What has no plain
-    length, is too large or does not come in time is rejected here, which costs neither a task nor a
-    parser, and nothing of it can reach an endpoint. What follows a whole request is dropped, and rejected
-    once that request has its response.
+    Bytes are buffered here until a request is complete, and only a complete request is passed to aiohttp. A
+    request with an ambiguous length, or one that is too large or too slow, is rejected here: this needs
+    neither a task nor a parser, and nothing of it can reach an endpoint. Bytes behind a complete request are
+    dropped, and rejected once that request has its response.
     """
 
     __slots__ = (
@@ -57,17 +58,17 @@
 
     def __init__(self, table: ConnectionTable, unread_since_s: float = 0.0) -> None:
         self.table = table
-        # Since when it may have waited to be accepted, with its first request; 0 if it has not.
+        # Since when the connection may have waited to be accepted, in s of the loop's clock; 0 if it has not.
         self.unread_since_s = unread_since_s
         self.transport: asyncio.Transport
         self.handler: RequestHandler | None = None
         self.buffer = RequestBuffer()
         self.is_busy = self.is_idle = False
-        self.excess_bytes = 0  # how many bytes came behind the request in hand
-        self.has_sent_request = False  # or a callback
+        self.excess_bytes = 0  # bytes received behind the current request
+        self.has_sent_request = False  # a request or a callback
         self.is_endpoint = False  # it has sent a callback
-        self.started_s = 0.0  # when the connection, or the request that is coming, began
-        self.counted_bytes = 0  # the bytes of it that `ConnectionTable` counts
+        self.started_s = 0.0  # when the connection opened, or the incoming request began
+        self.counted_bytes = 0  # bytes of the incoming request in `ConnectionTable.partial_bytes`
         self.timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.Transport) -> None:
@@ -106,13 +107,13 @@
             self._start_request()
         self.buffer.add(data)
         try:
-            whole = self.buffer.is_complete(len(data))
+            is_complete = self.buffer.is_complete(len(data))
         except MalformedError as problem:
             self.reject(*problem.args)
             return
         if self.buffer.awaits_continue():
             self.transport.write(CONTINUE_RESPONSE)
-        if whole:
+        if is_complete:
             self._hand_to_parser()
         else:
             self.table.mark_partial(self)
@@ -131,10 +132,10 @@
             self._discard(excess)
 
     def _discard(self, size: int) -> None:
-        """Bytes came behind the request in hand: clients send one at a time, so they belong to none.
+        """Drop bytes received behind the current request: clients must not pipeline.
 
-        The request in hand is owed its answer all the same. They are read so that a close behind them is
-        seen; behind more than any request has nothing is read, and the system is asked for a close.
+        The current request still gets its response. The bytes are read so that a close behind them is
+        noticed. After more bytes than any request has, reading stops and the socket is polled for a close.
         """
         self.excess_bytes += size
         if self.excess_bytes > MAX_BODY_BYTES:
@@ -147,10 +148,10 @@
             self.timer = self.table.loop.call_later(MAX_PAUSE_S, self._watch_unread)
 
     def client_closed(self) -> bool:
-        """Whether the client has closed, by the system's word; this side is then closed, too.
+        """Ask the operating system whether the client has closed; if so, close this side and return True.
 
-        The loop may read a close only after what it has in hand, which may take longer than an attempt may
-        start after it.
+        The event loop may notice a close only after other work, and by then an attempt could have started for
+        a client that is gone.
         """
         if self.transport.is_closing():
             return True
@@ -162,16 +163,16 @@
         return True
 
     def take_unread_ms(self) -> float:
-        """How long the first request of this connection may have waited unread; asked once."""
+        """Return how long in ms this connection's first request may have waited unread; 0 at later calls."""
         since_s, self.unread_since_s = self.unread_since_s, 0.0
         if not since_s:
             return 0.0
-        # A connection may have waited for long and its request have come just now.
-        age = last_data_age_ms(self.transport.get_extra_info("socket"))
-        return min(age, (self.table.loop.time() - since_s) * 1000.0)
+        # The request may have arrived much later than the connection.
+        age_ms = last_data_age_ms(self.transport.get_extra_info("socket"))
+        return min(age_ms, (self.table.loop.time() - since_s) * 1000.0)
 
     def finish_request(self) -> None:
-        """The request in hand has its answer."""
+        """Wait for the next request, or reject bytes that followed the one that now has its response."""
         self.is_busy = False
         if self.transport.is_closing():
             return
@@ -179,7 +180,7 @@
             self.reject(400, "more came than one request")
         else:
             self.table.mark_idle(self)
-            # Not the library's timer: it sees no half of a request, and would close the connection under one.
+            # aiohttp's keep-alive timer is not used: it does not see partial requests and would cut them off.
             self._stop_timer()
             self.timer, self.is_idle = (
                 self.table.loop.call_later(KEEP_ALIVE_TIMEOUT_S, self._deadline_passed),
@@ -187,17 +188,17 @@
             )
 
     def reject(self, status: int, reason: str) -> None:
-        """Reject what came, and whatever else comes over this connection."""
+        """Respond with an error status, then close the connection and ignore further bytes."""
         self.table.count_rejection(status, reason)
         text = f"HTTP/1.1 {status} {reason}\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
         self.transport.write(text.encode())
         self.buffer = RequestBuffer()
         self._stop_timer()
-        # A lingering close. To close at once, with more on its way in, would break the connection before the
-        # answer is read: end our side, read no more, and close a moment later.
+        # A lingering close. Closing at once, while the client still sends, would reset the connection before
+        # the client reads the response: half-close, stop reading, and close a little later.
         try:
             self.transport.write_eof()
-        except OSError:  # the client has reset it, which is not read yet
+        except OSError:  # the client has reset the connection, which the loop has not noticed yet
             self.transport.abort()
             return
         self.transport.pause_reading()
@@ -206,9 +207,9 @@
     def _deadline_passed(self) -> None:
         self.timer = None
         now = self.table.loop.time()
-        still = self.table.partial.get(self, 0.0) + MAX_PAUSE_S - now
-        if self.buffer.received and still > 0.0 and now < self.started_s + MAX_REQUEST_S:
-            self.timer = self.table.loop.call_later(still, self._deadline_passed)
+        left_s = self.table.partial.get(self, 0.0) + MAX_PAUSE_S - now
+        if self.buffer.received and left_s > 0.0 and now < self.started_s + MAX_REQUEST_S:
+            self.timer = self.table.loop.call_later(left_s, self._deadline_passed)
         elif self.buffer.received:
             self.reject(408, "the request did not come")
         else:
--- a/dunepulley/net/frontend/connection_table.py
+++ b/dunepulley/net/frontend/connection_table.py
@@ -1,4 +1,4 @@
-"""The connections that come in, and which of them is closed when there are too many."""
+"""The incoming connections, and which of them to close when there are too many."""
 
 from __future__ import annotations
 
@@ -12,35 +12,36 @@
 from dunepulley.net.frontend.connection import Connection
 from dunepulley.net.log_events import LogEvent
 
-# Only a connection idle for longer may be closed for room: a request may be on its way over a newer one.
+# Only connections that were idle for longer are evicted: a request may be in transit on the others.
 MIN_IDLE_S = 1.0
-# Who writes slowly pauses, but not for so long.
+# A slow client pauses while it sends a request, but not for this long.
 MIN_PARTIAL_PAUSE_S = 0.5
 
 
 class ConnectionTable(web.Server):
-    """The connections that come in, and which of them is closed when there are too many."""
+    """Tracks incoming connections, limits their number, and limits the bytes of partial requests."""
 
-    def __init__(self, handler: Any, limit: int, counters: Counters, **more: Any) -> None:
-        super().__init__(handler, **more)
+    def __init__(self, handler: Any, limit: int, counters: Counters, **options: Any) -> None:
+        super().__init__(handler, **options)
         self.loop = asyncio.get_running_loop()
         self.limit = self.full_limit = limit
-        # What incomplete requests hold, and how much they may.
+        # The bytes of partial requests in memory, and their limit.
         self.partial_bytes, self.max_partial_bytes = 0, 12 * 1024 * 1024
         self.counters = counters
         self.accepted: set[Connection] = set()
-        # Without a request in hand, and since when, the longest first: those that have sent neither a request
-        # nor a callback yet, those of which a part of a request has come, and those that wait for the next.
+        # Connections with no request in progress, and the time of their last change, the oldest first: `new`
+        # have sent neither a request nor a callback yet, `partial` have sent part of a request, and `idle`
+        # wait for the next request.
         self.new: dict[Connection, float] = {}
         self.partial: dict[Connection, float] = {}
         self.idle: dict[Connection, float] = {}
 
     def connection(self, unread_since_s: float) -> Connection:
-        """What reads a new connection."""
+        """Return the protocol for a new connection."""
         return Connection(self, unread_since_s)
 
     def add(self, connection: Connection) -> None:
-        """A connection is there; over the limit another one is closed for it, or it is closed itself."""
+        """Add a connection. At the limit, another one is evicted for it, or else it is closed itself."""
         if len(self.accepted) >= self.limit and not self.evict_connection():
             self.counters["connections without room"] += 1
             connection.transport.abort()
@@ -48,16 +49,16 @@
         self.mark_idle(connection)
 
     def count_rejection(self, status: int, reason: str) -> None:
-        """Count and log a request that is rejected before the router hears of it."""
+        """Count and log a request that is rejected before it reaches the router."""
         self.counters[f"turned away {status}"] += 1
         log.write(LogEvent.REQUEST_REJECTED, f"{status}, {reason}")
 
     def mark_idle(self, connection: Connection) -> None:
-        """A connection has no request in hand."""
+        """Record that a connection has no request in progress."""
         (self.idle if connection.has_sent_request else self.new)[connection] = self.loop.time()
 
     def mark_partial(self, connection: Connection) -> None:
-        """A part of a request has come over a connection."""
+        """Record that a connection has received part of a request."""
         self.mark_busy(connection)
         self.partial[connection] = self.loop.time()
         connection.counted_bytes = len(connection.buffer.received)
@@ -66,23 +67,24 @@
             self._close_first(self.partial)
 
     def mark_busy(self, connection: Connection) -> None:
-        """A whole request has come over a connection."""
+        """Record that a connection has received a complete request."""
         self.partial_bytes -= connection.counted_bytes
         connection.counted_bytes = 0
-        for some in (self.new, self.partial, self.idle):
-            some.pop(connection, None)
+        for connections in (self.new, self.partial, self.idle):
+            connections.pop(connection, None)
 
     def remove(self, connection: Connection) -> None:
-        """The one place where a connection is forgotten."""
+        """Remove a connection; nothing else removes one."""
         self.accepted.discard(connection)
         self.mark_busy(connection)
 
     def evict_connection(self) -> bool:
-        """Close the new one that is silent the longest, else an incomplete one, else the longest idle one.
+        """Close the oldest new connection, else a partial one, else the one that was idle the longest.
 
-        Clients send with connecting, and what has come is read before the next connection is accepted: the
-        oldest of many that have sent nothing has nothing to send. Some check our health and stay. Of those
-        that have sent a part, the one that has paused the longest is the least likely to send the rest.
+        Returns whether a connection was closed. Clients send a request as soon as they are connected, and
+        received bytes are read before the next connection is accepted: the oldest of many that have sent
+        nothing is therefore not about to send. Some clients check the health and then stay connected. Of the
+        partial requests, the one that has paused for the longest is the least likely to be completed.
         """
         now = self.loop.time()
         order = (
@@ -91,39 +93,41 @@
             (self.idle, MIN_IDLE_S),
             (self.partial, 0.0),
         )
-        for some, least in order:
-            since = next(iter(some.values()), None)
-            if since is not None and now - since >= least:
-                self._close_first(some)
+        for connections, min_age_s in order:
+            since = next(iter(connections.values()), None)
+            if since is not None and now - since >= min_age_s:
+                self._close_first(connections)
                 return True
         return False
 
-    def _close_first(self, some: dict[Connection, float]) -> None:
-        # Its descriptor is free in a moment; it must not be found here again until then.
-        connection = next(iter(some))
+    def _close_first(self, connections: dict[Connection, float]) -> None:
+        # Removed at once, although its descriptor is freed a little later: it must not be selected again.
+        connection = next(iter(connections))
         self.remove(connection)
         connection.transport.abort()
 
     def has_unsent_responses(self) -> bool:
-        """Whether a request is here, also in part, that has no whole answer, or an answer is not out yet."""
+        """Return whether a complete or partial request has no response, or a response is still buffered."""
         return any(
             [
-                one.is_busy or one.buffer.received or one.transport.get_write_buffer_size()
-                for one in self.accepted
+                connection.is_busy
+                or connection.buffer.received
+                or connection.transport.get_write_buffer_size()
+                for connection in self.accepted
             ]
         )
 
-    def set_connection_fraction(self, part: float) -> None:
-        """Hold this part of the connections allowed: another process of this dispatcher holds the rest."""
-        self.limit = int(self.full_limit * part)
+    def set_connection_fraction(self, fraction: float) -> None:
+        """Limit the connections to a fraction of the maximum, while another process uses the remainder."""
+        self.limit = int(self.full_limit * fraction)
         while len(self.accepted) > self.limit and self.evict_connection():
             pass
 
     def close_idle(self, close_all: bool = False) -> None:
-        """Close all that wait for a next request; a client whose request crosses this sends it again.
+        """Close connections that wait for a request; a client that has just sent one sends it again.
 
-        Not those of which a part of a request has come: it would be lost once the rest is written. Where all
-        have to go, these are told so.
+        Endpoints' connections and those with a partial request stay open: the request would be lost once the
+        client has sent it all. With `close_all` these are closed too, partial requests with a 503 response.
         """
         for connection in [*self.new, *self.idle]:
             if close_all or not connection.is_endpoint:
@@ -131,5 +135,5 @@
         for connection in list(self.partial) if close_all else ():
             if connection.buffer.received:
                 connection.reject(503, "ending")
-            else:  # it has been refused before
+            else:  # it was rejected before
                 connection.transport.close()
--- a/dunepulley/net/frontend/framing.py
+++ b/dunepulley/net/frontend/framing.py
@@ -1,7 +1,8 @@
-"""Where an HTTP/1.1 request ends, decided before anything else reads it.
+"""Finds the end of an HTTP/1.1 request, before any other code parses it.
 
-Where two readers could see two lengths, what follows might be taken for a request of its own (RFC 9112, 6.3
-and 11.2): such a request is rejected here. Every function raises `MalformedError` with a status and a reason.
+If two parsers could disagree about the length of a request, the bytes behind it might be taken for another
+request (request smuggling, RFC 9112, 6.3 and 11.2): such a request is rejected here. Every function raises
+`MalformedError` with a status and a reason.
 """
 
 from __future__ import annotations
@@ -11,27 +12,27 @@
 from dunepulley.net.callbacks import MalformedError
 
 MAX_BODY_BYTES = 65536
-# A usual head has a few hundred bytes; one without end must not fill the memory.
+# A typical head has a few hundred bytes; a head that never ends must not fill the memory.
 MAX_HEAD_BYTES = 16384
-# What stands in a head between its first line and the empty line at its end.
+# Header lines of a head, between its first line and the empty line at its end.
 _CONTENT_LENGTH = re.compile(rb"\r\ncontent-length[ \t]*:[ \t]*([^\r]*?)[ \t]*(?=\r\n)", re.I)
 _TRANSFER_ENCODING = re.compile(rb"\r\ntransfer-encoding[ \t]*:[ \t]*([^\r]*?)[ \t]*(?=\r\n)", re.I)
 _EXPECT_CONTINUE = re.compile(rb"\r\nexpect:[ \t]*100-continue", re.I)
-# Bare line ends, folded lines and zero bytes, which readers understand in different ways.
+# Bare CR or LF, folded lines and NUL bytes, which parsers interpret differently.
 _AMBIGUOUS = re.compile(rb"(?<!\r)\n|\r(?!\n)|\r\n[ \t]|\0")
-# Longer than any length that is accepted; int() of many thousands of digits would take long.
-_MOST_LENGTH_DIGITS = 18
+# More than any accepted length has; int() of many thousands of digits would be slow.
+_MAX_LENGTH_DIGITS = 18
 _CHUNK_HEAD = re.compile(rb"0{0,16}([0-9a-fA-F]{1,5})[ \t]*(?:;[^\r\n]{0,256})?\r\n")
-_CHUNK_HEAD_LIMIT = 300
-# What may stand behind the last chunk, beside the empty line: fields that are of no use here.
+_MAX_CHUNK_HEAD_BYTES = 300
+# The trailer section behind the last chunk, with the empty line at its end. Its fields are not used.
 _TRAILER = re.compile(rb"(?:[!#$%&'*+.^_`|~0-9A-Za-z-]+:[^\r\n\0]*\r\n)*\r\n")
-_TRAILER_LIMIT = 2048
-# The announced length of a body in chunks.
+_MAX_TRAILER_BYTES = 2048
+# Returned by `body_length` for a body with chunked transfer coding.
 CHUNKED = -1
 
 
 def body_length(head: bytes) -> int:
-    """The length in bytes of the body that a head announces, or `CHUNKED`."""
+    """Return the length in bytes of the body that a head declares, or `CHUNKED`."""
     if _AMBIGUOUS.search(head):
         raise MalformedError(400, "lines that end oddly or are folded")
     lengths = _CONTENT_LENGTH.findall(head)
@@ -44,39 +45,39 @@
         return 0
     if len(lengths) > 1 or not lengths[0].isdigit():
         raise MalformedError(400, "Content-Length is doubled or no whole number")
-    if len(lengths[0]) > _MOST_LENGTH_DIGITS or int(lengths[0]) > MAX_BODY_BYTES:
+    if len(lengths[0]) > _MAX_LENGTH_DIGITS or int(lengths[0]) > MAX_BODY_BYTES:
         raise MalformedError(413, "the body is too large")
     return int(lengths[0])
 
 
 def expects_continue(head: bytes) -> bool:
-    """Whether the client waits for `100 Continue` before it sends the body."""
+    """Return whether the client waits for `100 Continue` before it sends the body."""
     return _EXPECT_CONTINUE.search(head) is not None
 
 
 class ChunkedBody:
-    """A body in chunks, put together as they come; extensions and trailers are dropped."""
+    """Decodes a chunked body as it arrives; chunk extensions and trailers are dropped."""
 
     __slots__ = ("body", "_position", "_has_last_chunk")
 
     def __init__(self, start: int) -> None:
         self.body = bytearray()
         self._position = start
-        # Behind the last chunk only trailers may come.
+        # After the last chunk, only trailers may follow.
         self._has_last_chunk = False
 
     def find_end(self, received: bytearray) -> int:
-        """Where the body ends in what was received; 0 while that is not known."""
+        """Return the offset of the body's end in the received bytes; 0 while the body is incomplete."""
         while not self._has_last_chunk:
             if not self._read_chunk(received):
                 return 0
         return self._find_trailer_end(received)
 
     def _read_chunk(self, received: bytearray) -> bool:
-        """Take the next chunk; whether it was there as a whole."""
+        """Decode the next chunk; return whether it was complete."""
         head = _CHUNK_HEAD.match(received, self._position)
         if head is None:
-            if len(received) - self._position > _CHUNK_HEAD_LIMIT or b"\n" in received[self._position :]:
+            if len(received) - self._position > _MAX_CHUNK_HEAD_BYTES or b"\n" in received[self._position :]:
                 raise MalformedError(400, "a chunk without its length")
             return False
         size = int(head[1], 16)
@@ -96,35 +97,35 @@
 
     def _find_trailer_end(self, received: bytearray) -> int:
         trailer = _TRAILER.match(received, self._position)
-        if trailer is not None and trailer.end() - self._position <= _TRAILER_LIMIT:
+        if trailer is not None and trailer.end() - self._position <= _MAX_TRAILER_BYTES:
             return trailer.end()
-        is_too_long = len(received) - self._position > _TRAILER_LIMIT
+        is_too_long = len(received) - self._position > _MAX_TRAILER_BYTES
         if is_too_long or received.find(b"\r\n\r\n", self._position) >= 0:
             raise MalformedError(400, "what comes behind the last chunk is no trailer")
         return 0
 
 
 class RequestBuffer:
-    """The bytes of one request as they come, until it is whole."""
+    """Buffers the received bytes of one request until it is complete."""
 
     __slots__ = ("received", "_head_length", "_length", "_chunks")
 
     def __init__(self) -> None:
         self.received = bytearray()
-        # Both with the empty line behind the head; 0 while not known.
+        # The lengths of the head, with the empty line at its end, and of the whole request; 0 until known.
         self._head_length = self._length = 0
         self._chunks: ChunkedBody | None = None
 
     def add(self, data: bytes) -> None:
-        """Take more bytes."""
+        """Append received bytes."""
         self.received += data
         if not self._head_length:
-            # Some end a body with an empty line that belongs to none.
+            # Some clients send an extra CRLF after a body: RFC 9112, 2.2 allows a server to skip it.
             while self.received.startswith(b"\r\n"):
                 del self.received[:2]
 
     def is_complete(self, added: int) -> bool:
-        """Whether the request is there, after so many bytes were added."""
+        """Return whether the request is complete; `added` is the number of bytes that were just appended."""
         if not self._head_length and not self._read_head(added):
             return False
         if self._chunks is not None and not self._length:
@@ -134,24 +135,24 @@
         return 0 < self._length <= len(self.received)
 
     def awaits_continue(self) -> bool:
-        """Whether the head has come, and the client sends the body only after `100 Continue`."""
+        """Return whether exactly the head was received and the client waits for `100 Continue`."""
         head_length = self._head_length
         if not 0 < head_length == len(self.received) or self._length == head_length:
             return False
         return expects_continue(bytes(self.received))
 
     def take_request(self) -> tuple[bytes, int]:
-        """The whole request, with a body of a plain length, and how many bytes came behind it."""
+        """Return the complete request, with Content-Length, and the number of bytes behind it."""
         excess = len(self.received) - self._length
         if self._chunks is None:
             return bytes(self.received[: self._length]), excess
-        # What reads it next need not find out anew where it ends.
+        # The next parser need not decode the chunks again.
         length = b"\r\nContent-Length: %d" % len(self._chunks.body)
         head = _TRANSFER_ENCODING.sub(length, bytes(self.received[: self._head_length]))
         return head + bytes(self._chunks.body), excess
 
     def _read_head(self, added: int) -> bool:
-        """Look for the head's end; whether it is there."""
+        """Look for the end of the head; return whether the head is complete."""
         end = self.received.find(b"\r\n\r\n", max(0, len(self.received) - added - 3))
         if (end if end >= 0 else len(self.received)) > MAX_HEAD_BYTES:
             raise MalformedError(431, "the head is too long")
--- a/dunepulley/net/frontend/server.py
+++ b/dunepulley/net/frontend/server.py
@@ -1,7 +1,7 @@
-"""The front server: requests from clients, callbacks and health checks, and their answers.
+"""The HTTP server for client requests, endpoints' callbacks and health checks.
 
-`FrontendServer` owns the listening socket and the connections that come in over it. Each request has one
-handler, which owes the client its answer; when the client goes, the handler tells the router's task.
+`FrontendServer` owns the listening socket and the connections accepted from it. Each request is handled by
+one task, which responds to the client, or tells the core when the client disconnects.
 """
 
 from __future__ import annotations
@@ -30,20 +30,27 @@
 from dunepulley.routing.events import AttemptEnded
 from dunepulley.routing.settings import Idempotency
 
-# The library's own wait, which is not to end: a hundred years.
+# aiohttp's keep-alive timeout: a hundred years, as `Connection` has a timer of its own.
 LIBRARY_KEEP_ALIVE_S = 3.2e9
-# Should the router ever leave a request unanswered, it is failed this long after its timeout.
+# A request that the router leaves unanswered is failed this long after its timeout.
 UNANSWERED_GRACE_MS = 30.0
-# At the end of the process: how long answers that were given may take to leave it, and how often that is
-# looked at. With it a shutdown ends as SIGKILL may come.
+# When the process ends: the time to write the last responses, and the polling interval meanwhile. It is short
+# because a shutdown lasts nearly until SIGKILL may come.
 FINAL_RESPONSES_TIMEOUT_S, POLL_INTERVAL_S = 0.2, 0.01
-# Why clients are sent away, if they are: an operator asked, the process is to end, or another serves
-# in its place.
+# Values of `FrontendServer.drain_state`: whether clients are served, or why they are sent to other
+# dispatchers: an operator's request, the end of the process, or another process that has taken over.
 SERVING, DRAINED, SHUTTING_DOWN, HANDED_OVER = "", "drained", "ending", "handed over"
 
 
 class FrontendServer:
-    """Serves clients, and whoever else calls at their address."""
+    """Serves clients, callbacks and health checks at one address.
+
+    Args:
+        core: decides about requests; receives messages about them.
+        settings: the router's settings, by their configured names.
+        sockets: the number of file descriptors that the process may use.
+        by_key: whether the last segment of a request's path is its affinity key.
+    """
 
     def __init__(
         self, core: Core, settings: dict[str, Any], sockets: int, counters: Counters, by_key: bool = False
@@ -51,14 +58,14 @@
         self.core = core
         self.counters = counters
         self.callbacks = callbacks.Callbacks(core.put, self.has_request, counters)
-        names, effects = [class_settings(settings, what) for what in ("name", "effect")]
+        names, effects = [class_settings(settings, field) for field in ("name", "effect")]
         self.requires_key = {
             str(number) if name is None else name: effect == Idempotency.KEYED
             for number, (name, effect) in enumerate(zip(names, effects, strict=True))
         }
-        # Each request in hand holds a connection: a third of the descriptors at most. Nine sixteenths are for
-        # all that comes in, callbacks and silent connections included, one is for operators, the rest for
-        # endpoints and discovery.
+        # Each request in progress holds a connection: at most a third of the descriptors. Nine sixteenths are
+        # for all incoming connections, with callbacks and idle ones, one sixteenth is for operators, and the
+        # remainder for endpoints and discovery.
         self.max_requests = min(sockets // 3, int(settings.get("policyLimits.openCap", sockets)))
         self.waiting: dict[str, PendingRequest] = {}
         self.parser = RequestParser(core.clock, self.requires_key, by_key, self.has_request)
@@ -80,38 +87,39 @@
             LogEvent.FRONTEND, self.server.connection, self.server.evict_connection, counters
         )
 
-    # ---------------------------------------------------------------- leaving
+    # ---------------------------------------------------------------- draining
 
-    def leave(self, why: str, serving: float) -> None:
-        """Send clients away: nobody new is to come, and after `serving` seconds all connections are closed.
+    def leave(self, state: str, grace_s: float) -> None:
+        """Enter a drain state: new clients are to go elsewhere, and requests are rejected after `grace_s`.
 
-        Who has a connection is served until then. A state entered before stays as far as it has come; what is
-        undone less easily takes the place of what is undone more easily, never the other way round.
+        Connected clients are served until then. A state replaces only those before it in the order DRAINED,
+        SHUTTING_DOWN, HANDED_OVER, so that a state is never replaced by one that is easier to revoke.
+        Entering a state restarts the time `grace_s`, unless requests are rejected already.
         """
         rank = (SERVING, DRAINED, SHUTTING_DOWN, HANDED_OVER).index
-        entered = rank(why) > rank(self.drain_state)
-        if entered:
-            self.drain_state = why
+        is_entered = rank(state) > rank(self.drain_state)
+        if is_entered:
+            self.drain_state = state
         if self.is_rejecting:
-            self._tell_waiting()
-        elif entered:
+            self._update_none_waiting()
+        elif is_entered:
             self._stop_timer()
-            self.timer = asyncio.get_running_loop().call_later(serving, self._last_call)
+            self.timer = asyncio.get_running_loop().call_later(grace_s, self._start_rejecting)
 
     def join(self, after: str = DRAINED) -> bool:
-        """Take clients again after a drain, or after what is named; anything else is not undone."""
+        """Serve clients again if the drain state is `after`; return whether clients are served now."""
         if self.drain_state == after:
             self._stop_timer()
             self.drain_state, self.is_rejecting = SERVING, False
             self.none_waiting.clear()
         return self.drain_state == SERVING
 
-    def _last_call(self) -> None:
-        """From now on no request is taken and every response ends its connection; callbacks still come."""
+    def _start_rejecting(self) -> None:
+        """Reject new requests and close each connection after its response; callbacks are still received."""
         self.timer = None
         self.is_rejecting = True
         self.server.close_idle()
-        self._tell_waiting()
+        self._update_none_waiting()
 
     def _stop_timer(self) -> None:
         if self.timer is not None:
@@ -119,15 +127,15 @@
             self.timer = None
 
     def fail_waiting_requests(self) -> None:
-        """No time is left: whatever waits fails, with no promise about its effect."""
-        for job in list(self.waiting.values()):
-            job.settle(Answer(Fail))
-            self.core.put(ClientGone(job))
+        """Fail all waiting requests with status 500, because no time is left; they may have been executed."""
+        for request in list(self.waiting.values()):
+            request.settle(Answer(Fail))
+            self.core.put(ClientGone(request))
 
     async def close(self) -> None:
-        """Close all connections, those with an answer under way a moment later.
+        """Close all connections, after a short wait for responses that are being written.
 
-        What is read after the library has shut down would be dropped: so nothing may come any more by then.
+        Requests received after aiohttp's shutdown would be dropped, so the listener is closed first.
         """
         self._stop_timer()
         self.is_rejecting = True
@@ -142,7 +150,7 @@
         self.server.close_idle(close_all=True)
         await self.server.shutdown(POLL_INTERVAL_S)
 
-    def _tell_waiting(self) -> None:
+    def _update_none_waiting(self) -> None:
         if self.is_rejecting and not self.waiting:
             self.none_waiting.set()
 
@@ -151,16 +159,16 @@
     async def _serve(self, request: web.BaseRequest) -> web.StreamResponse:
         connection = request.protocol.transport.get_protocol()
         try:
-            response, ended = await self._route(request, connection)
-            # After SIGTERM who is connected may have nowhere else to go for a while.
+            response, outcome = await self._route(request, connection)
+            # After SIGTERM connected clients are still served: they may have no other dispatcher for a while.
             if not connection.is_endpoint and (
                 self.is_rejecting or self.drain_state not in (SERVING, SHUTTING_DOWN)
             ):
                 response.force_close()
             await response.prepare(request)
             await response.write_eof()
-            if ended:
-                self.counters[ended] += 1
+            if outcome:
+                self.counters[outcome] += 1
         finally:
             connection.finish_request()
         return response
@@ -168,12 +176,12 @@
     async def _route(
         self, request: web.BaseRequest, connection: Connection
     ) -> tuple[web.StreamResponse, str]:
-        """What to answer, and what that is to a category: counted once its last byte is written."""
+        """Return the response, and the counter to increment once it is written, or an empty name."""
         path = request.raw_path.partition("?")[0]
         if path == "/_health":
-            # Handed over, the process that took over says yes itself: here only old connections ask.
-            well = self.core.can_serve() and self.drain_state in (SERVING, HANDED_OVER)
-            return web.Response(status=200 if well else 503), ""
+            # After a hot restart only old connections send checks here; the child process answers all others.
+            is_healthy = self.core.can_serve() and self.drain_state in (SERVING, HANDED_OVER)
+            return web.Response(status=200 if is_healthy else 503), ""
         try:
             if path == callbacks.PATH and request.method == "POST":
                 response = await self.callbacks.receive(await read_body(request))
@@ -181,59 +189,68 @@
                 return response, ""
             if request.method != "POST":
                 raise MalformedError(405, "work items come by POST")
-            job = await self.parser.parse(request, connection)
+            pending = await self.parser.parse(request, connection)
         except MalformedError as problem:
             status, reason = problem.args
             self.server.count_rejection(status, reason)
             response = web.Response(status=status, text=reason + "\n")
-            # Who sends what cannot be used is not given a descriptor to keep.
+            # A client that sends malformed requests must not hold a descriptor.
             response.force_close()
             return response, ""
-        category = job.arrived.request_class
+        request_class = pending.arrived.request_class
         if self.is_rejecting or len(self.waiting) >= self.max_requests:
-            # Rejected before it reaches the router: nothing has been sent of it, so a retry is harmless.
+            # Rejected before it reaches the router: no attempt was sent, so that the client may safely retry.
             self.counters["turned away 503"] += 1
-            log.write(LogEvent.FRONTEND, "a work item was turned away: ending, or too many are open")
+            log.write(LogEvent.FRONTEND, "request rejected: shutting down, or too many requests in progress")
             response = web.Response(status=503)
             response.force_close()
-            return response, outcome_counter(category, REJECTED)
+            return response, outcome_counter(request_class, REJECTED)
         connection.has_sent_request = True
-        response, how = await self._answer(job)
-        return response, outcome_counter(category, how)
+        response, outcome = await self._answer(pending)
+        return response, outcome_counter(request_class, outcome)
 
     def accepts_clients(self) -> bool:
-        """Whether clients are to be sent to this process."""
+        """Return whether this process is ready for new clients."""
         return self.core.can_serve() and self.listener.accepting and self.drain_state == SERVING
 
-    def has_request(self, wi: str) -> bool:
-        """Whether a request is in hand here."""
-        return wi in self.waiting or wi in self.core.requests
+    def has_request(self, request_id: str) -> bool:
+        """Return whether a request is in progress in this process."""
+        return request_id in self.waiting or request_id in self.core.requests
+
+    async def _answer(self, request: PendingRequest) -> tuple[web.Response, str]:
+        """Pass a request to the core and wait for its answer; return the response and the outcome.
 
-    async def _answer(self, job: PendingRequest) -> tuple[web.Response, str]:
-        """Wait for the final answer, and which it is; the one place where a waiting item is given back."""
-        wi = job.arrived.request_id
-        self.waiting[wi] = job
+        The request is in `waiting` meanwhile.
+        """
+        request_id = request.arrived.request_id
+        self.waiting[request_id] = request
         self.counters["taken"] += 1
         if self.recorder is not None:
-            told = job.arrived
+            arrived = request.arrived
             self.recorder.record_request(
-                job.received_ms, told.request_class, told.timeout_ms, told.expected_ms, len(job.body)
+                request.received_ms,
+                arrived.request_class,
+                arrived.timeout_ms,
+                arrived.expected_ms,
+                len(request.body),
             )
-        self.core.put(RequestReceived(job))
+        self.core.put(RequestReceived(request))
         try:
             async with asyncio.timeout(
-                (job.arrived.timeout_ms + DELIVERY_MARGIN_MS + UNANSWERED_GRACE_MS) / 1000.0
+                (request.arrived.timeout_ms + DELIVERY_MARGIN_MS + UNANSWERED_GRACE_MS) / 1000.0
             ):
-                answer = await job.answer
+                answer = await request.answer
         except TimeoutError:
             self.counters["overdue"] += 1
-            log.write(LogEvent.FRONTEND, "the module left a work item unanswered; written off")
+            log.write(
+                LogEvent.FRONTEND, "the router left a request unanswered past its timeout; it is failed"
+            )
             answer = Answer(Fail)
         finally:
-            del self.waiting[wi]
-            self._tell_waiting()
-            if not job.answer.done() or job.answer.cancelled():
-                self.core.put(ClientGone(job))
+            del self.waiting[request_id]
+            self._update_none_waiting()
+            if not request.answer.done() or request.answer.cancelled():
+                self.core.put(ClientGone(request))
         return self._response(answer)
 
     def _response(self, answer: Answer) -> tuple[web.Response, str]:
--- a/dunepulley/net/handover.py
+++ b/dunepulley/net/handover.py
@@ -1,4 +1,4 @@
-"""What a hot restart does to the dispatcher of this process, as a parent and as a child."""
+"""What a hot restart does to the dispatcher of this process, both as the parent and as the child process."""
 
 from __future__ import annotations
 
@@ -21,63 +21,64 @@
 from dunepulley.net.upstream.client import UpstreamClient
 from dunepulley.routing.events import SlowStartBudgetAssigned
 
-# Once the child accepts connections, answers end those of the parent; what is idle after this is closed.
+# Once the child accepts connections, the parent closes each of its connections after the next response, and
+# closes idle ones after this time.
 IDLE_CLOSE_S = 0.5
-# Of the limits on connections, on either side, parent and child each have so much.
-SHARED_LIMITS = 0.5
-ALL_LIMITS = 1.0
+# While parent and child both run, each uses this fraction of the limits on client and endpoint connections.
+SHARED_LIMIT_FRACTION = 0.5
+FULL_LIMIT_FRACTION = 1.0
 
 
 class HotRestartActions:
-    """Implements `hot_restart.Dispatcher` on the parts of a dispatcher."""
+    """Implements `hot_restart.Dispatcher` with the components of a dispatcher."""
 
     def __init__(
         self,
         core: Core,
-        clients: FrontendServer,
+        frontend: FrontendServer,
         upstream: UpstreamClient,
         peers: Peers,
         watch: DiscoveryWatch,
         open_gossip: Callable[[], Awaitable[None]],
     ) -> None:
-        """`open_gossip` opens the socket of `peers`, which a parent closes and opens again to resume."""
+        """`open_gossip` opens the socket of `peers`, which a parent closes, and reopens if it resumes."""
         self.core = core
-        self.frontend = clients
+        self.frontend = frontend
         self.upstream = upstream
         self.peers = peers
         self.watch = watch
         self.open_gossip = open_gossip
-        self.finished = asyncio.Event()  # a child serves, and nothing is open here any more
+        self.finished = asyncio.Event()  # set once a child serves and this process has no open requests
         self.task: asyncio.Task | None = None
 
     # ---------------------------------------------------------------- as the child
 
     async def take_over(self, hot_restart: HotRestart, inherited: Inherited) -> None:
-        """Take the parent's place once there is an endpoint to serve with."""
+        """Take over from the parent once an endpoint is ready."""
         self.core.put(SlowStartBudgetAssigned(False))
-        self._use_limits(SHARED_LIMITS)
+        self._use_limits(SHARED_LIMIT_FRACTION)
         await hot_restart.follow(inherited)
         await self.core.endpoints.became_usable.wait()
         self.core.put(WarmStateReceived(await hot_restart.take_over()))
         self.core.put(SlowStartBudgetAssigned(True))
 
-    def use_all_limits(self) -> None:
-        """The parent has ended: all limits are this process's."""
-        self._use_limits(ALL_LIMITS)
+    def use_full_limits(self) -> None:
+        """Use the full connection limits, because the parent has ended."""
+        self._use_limits(FULL_LIMIT_FRACTION)
 
     # ---------------------------------------------------------------- as the parent
 
     def export_state(self) -> dict[str, Any]:
-        """Return the state that a child starts from, as JSON."""
+        """Return the state that a child starts from, as a JSON object."""
         core = self.core
         plan = None
         if core.endpoints.follower is not None and core.endpoints.follower.has_valid_plan(core.clock()):
-            # Loaded only here: most dispatchers follow no plan.
+            # Imported only here: most dispatchers follow no plan.
             from dunepulley.net.plan_message import format_plan
 
             plan = format_plan(core.endpoints.follower.lease, core.clock)
         return HotRestartState(
-            known=format_endpoint_list(
+            endpoint_list=format_endpoint_list(
                 core.endpoints.entries.values(), core.endpoints.addresses, core.endpoints.revision
             ),
             discovery=self.watch.address,
@@ -93,46 +94,45 @@
         return self.frontend.listener.socket
 
     async def hand_over(self) -> dict[str, Any]:
-        """Accept no more connections, and end once nothing is open; return the router's warm state."""
+        """Stop accepting connections, and finish the open requests; return the router's warm state."""
         self.frontend.listener.stop_accepting()
         self.peers.close()
         self.frontend.leave(HANDED_OVER, IDLE_CLOSE_S)
         self.core.put(SlowStartBudgetAssigned(False))
-        self._use_limits(SHARED_LIMITS)
+        self._use_limits(SHARED_LIMIT_FRACTION)
         self.task = asyncio.create_task(self._finish())
         return await self.core.ask(WarmStateRequested)
 
     def resume(self) -> bool:
-        """Serve again, as the child has ended; False where this process is ending, too."""
+        """Serve again, because the child has ended; return False if this process is ending, too."""
         self.cancel()
         if not self.frontend.join(after=HANDED_OVER):
             return False
-        log.write(LogEvent.HOT_RESTART, "the successor has ended; this process serves again")
+        log.write(LogEvent.HOT_RESTART, "the child process has ended; this process serves again")
         self.core.put(SlowStartBudgetAssigned(True))
-        self._use_limits(ALL_LIMITS)
+        self._use_limits(FULL_LIMIT_FRACTION)
         self.task = asyncio.create_task(self.open_gossip())
         self.frontend.listener.start_accepting()
         return True
 
     def receive_callback(self, body: bytes) -> int | None:
-        """Return the HTTP status for a callback; None where its request is not held here."""
+        """Return the HTTP status for a callback; None if its request is not open in this process."""
         return self.frontend.callbacks.receive_forwarded(body)
 
     async def _finish(self) -> None:
         await self.frontend.none_waiting.wait()
         while self.core.requests or self.frontend.server.has_unsent_responses():
-            # Attempts whose cancellation is on its way to their endpoints, halves of requests, and answers
-            # that are not written yet.
-            await asyncio.sleep(shutdown.POLL_S)
+            # Wait for cancellations in progress, incomplete requests, and responses not written yet.
+            await asyncio.sleep(shutdown.POLL_INTERVAL_S)
         self.finished.set()
 
     # ---------------------------------------------------------------- both
 
-    def _use_limits(self, share: float) -> None:
-        self.frontend.server.set_connection_fraction(share)
-        self.upstream.set_connection_fraction(share)
+    def _use_limits(self, fraction: float) -> None:
+        self.frontend.server.set_connection_fraction(fraction)
+        self.upstream.set_connection_fraction(fraction)
 
     def cancel(self) -> None:
-        """Stop what a handover has begun."""
+        """Cancel the task that `hand_over` or `resume` has started."""
         if self.task is not None:
             self.task.cancel()
--- a/dunepulley/net/hot_restart/__init__.py
+++ b/dunepulley/net/hot_restart/__init__.py
@@ -1,13 +1,13 @@
-"""Hot restart: a child process takes over the clients of the parent process that serves at the same address.
+"""Hot restart: a child process takes over the clients of the parent process that serves the same address.
 
-1. The parent listens at a Unix socket in $TMPDIR (`listener`, `paths`).
+1. The parent listens on a Unix socket in $TMPDIR (`listener`, `paths`).
 2. The child connects, and the parent passes its listening socket and its state (`child`, `state`).
-3. Once the child has an endpoint to serve with it says so; the parent then accepts no more connections,
-   sends what its router has learned, and ends once nothing is open there (`coordinator`).
-4. Until then either process forwards callbacks whose requests the other holds (`link`).
+3. Once the child has a ready endpoint, it notifies the parent. The parent then stops accepting connections,
+   sends its router's warm state, and ends once it has no open requests (`coordinator`).
+4. Until then, each process forwards callbacks for requests that are open in the other (`link`).
 
-Messages are lines of JSON (`messages`). If the child ends before the parent does, the parent serves again.
-What a hot restart does to the dispatcher is told to `HotRestart` as a `Dispatcher`.
+Messages are lines of JSON (`messages`). If the child ends before the parent, the parent serves again.
+`HotRestart` acts on the dispatcher through the protocol `Dispatcher`.
 """
 
 from dunepulley.net.hot_restart.child import HotRestartError, Inherited, request_parent_state
--- a/dunepulley/net/hot_restart/child.py
+++ b/dunepulley/net/hot_restart/child.py
@@ -1,6 +1,6 @@
-"""The start of a child process: ask the parent, if there is one, for its socket and its state.
+"""The start of a child process: request the listening socket and the state of the parent, if there is one.
 
-Nothing else runs in the child yet, so that these calls block.
+Nothing else runs in the child yet, so these calls may block.
 """
 
 from __future__ import annotations
@@ -16,23 +16,23 @@
 from dunepulley.net.hot_restart.paths import is_same_user, short_path
 from dunepulley.net.log_events import LogEvent
 
-# A parent answers within a turn of its event loop; one that stands still for so long is no help.
+# A working parent answers within one iteration of its event loop.
 PARENT_TIMEOUT_S = 3.0
 READ_BYTES = 65536
-# More than are ever passed, so that a surplus is seen and closed.
+# One descriptor is expected; receiving more makes any surplus visible, so that it is closed.
 MAX_DESCRIPTORS = 4
-NO_HANDOVER = "the process that serves does not hand over"
-NO_ANSWER = "the process that serves does not answer"
+REFUSED = "the running process does not hand over"
+NO_RESPONSE = "the running process does not respond"
 
 
 class HotRestartError(Exception):
-    """There is a process that serves, but it does not hand over; the text says why in one line."""
+    """A process serves the address but does not hand over; the message states the reason on one line."""
 
 
 class Inherited(NamedTuple):
-    """What the parent passes on: its listening socket, the link to it, and its state in JSON form.
+    """What the parent passes to its child: the listening socket, the connection between them, and its state.
 
-    `state.py` reads the state.
+    The state is a JSON object; `state.py` reads it.
     """
 
     listening: socket.socket
@@ -41,10 +41,10 @@
 
 
 def request_parent_state(path: str, name: str) -> Inherited | None:
-    """Ask the process that listens at a path for what it passes on; None where there is none.
+    """Request the socket and the state of the process that listens at a path; None if there is none.
 
-    A socket that nobody listens at is left over from a process that was killed. Raises HandoverError where
-    a process listens but refuses, is another user's, or does not answer within `PARENT_TIMEOUT_S`.
+    A socket file without a listener is left over from a process that was killed. Raises HotRestartError if a
+    process listens but refuses, runs as another user, or does not answer within `PARENT_TIMEOUT_S`.
     """
     if not path:
         return None
@@ -57,7 +57,7 @@
         inherited = _exchange(link, path, name, descriptors)
         return inherited
     except TimeoutError as error:
-        raise HotRestartError(NO_ANSWER) from error
+        raise HotRestartError(NO_RESPONSE) from error
     except (OSError, ValueError) as error:
         raise HotRestartError(f"{path}: {error}") from error
     finally:
@@ -68,10 +68,10 @@
 
 
 def _connect(path: str) -> socket.socket | None:
-    """Return a connection to the process that serves, or None where none can be found.
+    """Return a connection to the running process, or None if none can be found.
 
-    A directory that cannot be searched keeps no process from starting: if another one serves all the same,
-    the address is in use, and that is said then. Raises HandoverError where a process listens and accepts no
+    A directory that cannot be searched does not prevent the start: if another process serves the address, the
+    later attempt to listen fails with an error. Raises HotRestartError if a process listens but accepts no
     connection in time.
     """
     link = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
@@ -81,39 +81,37 @@
             link.connect(short)
     except TimeoutError as error:
         link.close()
-        raise HotRestartError(NO_ANSWER) from error
+        raise HotRestartError(NO_RESPONSE) from error
     except OSError as error:
         link.close()
         if not isinstance(error, FileNotFoundError | ConnectionRefusedError | NotADirectoryError):
-            log.write(
-                LogEvent.HOT_RESTART, f"it cannot be seen whether another process serves: {path}: {error}"
-            )
+            log.write(LogEvent.HOT_RESTART, f"cannot check for a running process: {path}: {error}")
         return None
     return link
 
 
 def _exchange(link: socket.socket, path: str, name: str, descriptors: list[int]) -> Inherited:
-    """Say hello and return the parent's answer; the caller closes what is left in `descriptors`."""
+    """Send `Hello` and return the parent's answer; the caller closes what remains in `descriptors`."""
     if not is_same_user(link):
-        raise HotRestartError(f"{path} is another user's")
+        raise HotRestartError(f"{path}: the listening process belongs to another user")
     link.sendall(orjson.dumps(Hello(PROTOCOL_VERSION, name).to_json()) + b"\n")
     state = orjson.loads(_receive_line(link, descriptors))
     if not isinstance(state, dict):
-        raise HotRestartError(NO_HANDOVER)
+        raise HotRestartError(REFUSED)
     if "refused" in state:
-        raise HotRestartError(f"{NO_HANDOVER}: {state['refused']}")
+        raise HotRestartError(f"{REFUSED}: {state['refused']}")
     if len(descriptors) != 1:
-        raise HotRestartError("the process that serves passed no socket on")
+        raise HotRestartError("the running process did not pass exactly one listening socket")
     return Inherited(socket.socket(fileno=descriptors.pop()), link, state)
 
 
 def _receive_line(link: socket.socket, descriptors: list[int]) -> bytes:
-    """Return one line; descriptors that come with it are added to the list."""
+    """Return one line; descriptors that are received with it are appended to `descriptors`."""
     line = b""
     while not line.endswith(b"\n"):
         data, received, _, _ = socket.recv_fds(link, READ_BYTES, MAX_DESCRIPTORS)
         descriptors += received
         line += data
         if not data or len(line) > MAX_MESSAGE_BYTES:
-            raise HotRestartError(NO_HANDOVER)
+            raise HotRestartError(REFUSED)
     return line
--- a/dunepulley/net/hot_restart/coordinator.py
+++ b/dunepulley/net/hot_restart/coordinator.py
@@ -1,4 +1,4 @@
-"""The hot restarts of one process: first as the child of the process before it, later as a parent itself."""
+"""The hot restarts of one process: at its start as the child, later as the parent of another process."""
 
 from __future__ import annotations
 
@@ -24,9 +24,9 @@
 from dunepulley.net.hot_restart.paths import is_same_user
 from dunepulley.net.log_events import LogEvent
 
-# A child says hello as soon as it is connected.
+# A child sends `Hello` as soon as it is connected.
 HELLO_TIMEOUT_S = 3.0
-# Carries the listening socket, as descriptors go over a Unix socket only with data.
+# Sent with the listening socket: descriptors are passed over a Unix socket only together with data.
 DESCRIPTOR_CARRIER = b" "
 
 
@@ -34,22 +34,22 @@
     """What a hot restart does to the dispatcher of this process."""
 
     def export_state(self) -> dict[str, Any]:
-        """Return the state that a child starts from, as JSON."""
+        """Return the state that a child starts from, as a JSON object."""
 
     def listening_socket(self) -> socket.socket:
         """Return the socket that clients connect to, which the child shares."""
 
     async def hand_over(self) -> dict[str, Any]:
-        """Accept no more connections, and end once nothing is open; return the router's warm state."""
+        """Stop accepting connections, and finish the open requests; return the router's warm state."""
 
     def resume(self) -> bool:
-        """Serve again, as the child has ended; False where this process is ending, too."""
+        """Serve again, because the child has ended; return False if this process is ending, too."""
 
-    def use_all_limits(self) -> None:
-        """The parent has ended: the limits that both shared are this process's alone."""
+    def use_full_limits(self) -> None:
+        """Use the full connection limits, because the parent has ended."""
 
     def receive_callback(self, body: bytes) -> int | None:
-        """Return the HTTP status for a callback; None where its request is not held here."""
+        """Return the HTTP status for a callback; None if its request is not open in this process."""
 
 
 class HotRestart:
@@ -63,59 +63,60 @@
         self.parent: Link | None = None
         self.child: Link | None = None
         self._handed_over = False
-        self._taken_over = asyncio.Event()
+        # Set once the parent has stopped accepting connections, or has ended.
+        self._parent_released = asyncio.Event()
         self._warm_state: Any = None
         self._tasks: set[asyncio.Task] = set()
 
-    def _run(self, work: Awaitable[None]) -> None:
-        task = asyncio.ensure_future(work)
+    def _run(self, coroutine: Awaitable[None]) -> None:
+        task = asyncio.ensure_future(coroutine)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     # ---------------------------------------------------------------- as the child
 
     async def follow(self, inherited: Inherited) -> None:
-        """Keep up the link to the parent."""
+        """Process the parent's messages in a task until the parent ends."""
         self.parent = await Link.over(inherited.link)
         self._run(self._serve_parent(self.parent))
 
     async def _serve_parent(self, link: Link) -> None:
-        """Take the parent's messages until it ends."""
+        """Process the parent's messages until it ends."""
         while (message := await link.receive()) is not None:
             if isinstance(message, HandedOver):
                 self._warm_state = message.warm_state
-                self._taken_over.set()
+                self._parent_released.set()
             elif isinstance(message, CallbackForwarded):
                 self._run(self._answer_callback(link, message, self.child))
-        # It has ended, in good order or not: what it listened at is this process's alone.
+        # The parent has ended, normally or not: this process alone owns the listening socket now.
         self.parent = None
         link.close()
-        self._taken_over.set()
-        self.dispatcher.use_all_limits()
+        self._parent_released.set()
+        self.dispatcher.use_full_limits()
 
     async def take_over(self) -> Any:
-        """Tell the parent that this process can serve, and wait until it accepts no more connections.
+        """Notify the parent that this process can serve, and wait until it has stopped accepting connections.
 
         Returns the warm state of the parent's router; None if the parent has ended.
         """
         if self.parent is not None:
             self.parent.send(Ready())
-        await self._taken_over.wait()
+        await self._parent_released.wait()
         self.counters["taken over"] += 1
-        log.write(LogEvent.HOT_RESTART, "took over from the process that served")
+        log.write(LogEvent.HOT_RESTART, "took over from the parent process")
         return self._warm_state
 
     # ---------------------------------------------------------------- as the parent
 
     def listen_for_child(self) -> None:
-        """Wait for a child, in the place of whichever process waited for one before."""
+        """Listen for a child process, replacing any process that listened for one before."""
         self.listener.listen()
 
     def _on_connection(self, connection: socket.socket) -> None:
         self._run(self._serve_child(connection))
 
     async def _serve_child(self, connection: socket.socket) -> None:
-        """Serve one child from its hello to its end."""
+        """Serve one child from its `Hello` until it ends."""
         same_user = is_same_user(connection)
         link = await Link.over(connection)
         try:
@@ -126,35 +127,35 @@
                 link.send(refusal)
                 return
             self.child = link
-            log.write(LogEvent.HOT_RESTART, "a successor starts")
+            log.write(LogEvent.HOT_RESTART, "a child process is starting")
             socket.send_fds(connection, [DESCRIPTOR_CARRIER], [self.dispatcher.listening_socket().fileno()])
             link.send_json(self.dispatcher.export_state())
             await self._follow_child(link)
             self._child_ended()
         except (OSError, TimeoutError) as error:
-            log.write(LogEvent.HOT_RESTART, f"no handover: {error!r}")
+            log.write(LogEvent.HOT_RESTART, f"hot restart failed: {error!r}")
         finally:
-            # Also where this process ends first: then there is nothing to resume.
+            # Also reached if this task is cancelled because this process ends; then it does not resume.
             link.close()
             if self.child is link:
                 self.child = None
 
     def _refusal(self, same_user: bool, hello: object) -> Refused | None:
-        """Return why a connection is refused; None where it is a child that may take over."""
+        """Return why a connection is refused; None if it is from a child that may take over."""
         if self.child is not None:
-            return Refused("an upgrade is under way")
+            return Refused("another hot restart is in progress")
         if same_user and isinstance(hello, Hello) and hello.protocol == PROTOCOL_VERSION:
             return None
-        return Refused("another user or version")
+        return Refused("the child runs as another user or uses another protocol version")
 
     async def _follow_child(self, link: Link) -> None:
-        """Take a child's messages until it ends."""
+        """Process a child's messages until it ends."""
         while (message := await link.receive()) is not None:
             if isinstance(message, Ready) and not self._handed_over:
                 self._handed_over = True
                 self.listener.stop()
                 link.send(HandedOver(await self.dispatcher.hand_over()))
-                log.write(LogEvent.HOT_RESTART, "the successor serves; what is in hand here is finished")
+                log.write(LogEvent.HOT_RESTART, "the child process serves; finishing the open requests")
             elif isinstance(message, CallbackForwarded):
                 self._run(self._answer_callback(link, message, self.parent))
 
@@ -162,14 +163,17 @@
         handed_over, self._handed_over = self._handed_over, False
         self.child = None
         if not handed_over:
-            log.write(LogEvent.HOT_RESTART, "the successor ended before it could serve")
+            log.write(LogEvent.HOT_RESTART, "the child process ended before it could serve")
         elif self.dispatcher.resume():
             self.listen_for_child()
 
     # ---------------------------------------------------------------- callbacks
 
     async def forward_callback(self, body: bytes) -> int | None:
-        """Return the HTTP status with which parent or child answers a callback; None if neither holds it."""
+        """Return the HTTP status of the parent's or child's answer to a callback.
+
+        None if its request is open in neither.
+        """
         for link in (self.parent, self.child):
             if link is not None:
                 self.counters["callbacks passed on"] += 1
@@ -178,18 +182,18 @@
                     return status
         return None
 
-    async def _answer_callback(self, link: Link, message: CallbackForwarded, beyond: Link | None) -> None:
-        """Answer one end's callback from this process, or from the process beyond it."""
+    async def _answer_callback(self, link: Link, message: CallbackForwarded, other_link: Link | None) -> None:
+        """Answer a callback from `link`, from this process or else from the process at `other_link`."""
         body = message.body.encode()
         status = self.dispatcher.receive_callback(body)
-        if status is None and beyond is not None:
-            status = await beyond.forward_callback(body)
+        if status is None and other_link is not None:
+            status = await other_link.forward_callback(body)
         link.send(CallbackAnswered(message.number, status))
 
     # ---------------------------------------------------------------- the end
 
     async def close(self) -> None:
-        """Close both links and the socket, and remove its file unless it is a child's by now."""
+        """Close both links and the socket, and remove its file unless a child has replaced it."""
         self.listener.close()
         for task in list(self._tasks):
             task.cancel()
--- a/dunepulley/net/hot_restart/link.py
+++ b/dunepulley/net/hot_restart/link.py
@@ -1,4 +1,4 @@
-"""The connection between parent and child once both run: messages, and answers to forwarded callbacks."""
+"""The connection between parent and child: messages, and answers to forwarded callbacks."""
 
 from __future__ import annotations
 
@@ -18,14 +18,13 @@
     parse,
 )
 
-# An endpoint's callback waits this long for the process that holds its request; then the endpoint, which is
-# answered 503, calls again.
+# How long a forwarded callback waits for an answer. After that the endpoint gets a 503 and retries.
 CALLBACK_TIMEOUT_S = 1.0
 SERVICE_UNAVAILABLE = 503
 
 
 class Link:
-    """Messages to and from the parent or the child of this process."""
+    """Sends messages to, and receives them from, the parent or the child of this process."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
@@ -36,19 +35,19 @@
 
     @classmethod
     async def over(cls, connection: socket.socket) -> Link:
-        """Return a link over a connected socket, which it owns from now on."""
+        """Return a link over a connected socket, of which it takes ownership."""
         return cls(*await asyncio.open_connection(sock=connection, limit=MAX_MESSAGE_BYTES))
 
     def send(self, message: Sent) -> None:
-        """Write one message; what a process that has gone does not read is lost with it."""
+        """Write one message; it is lost if the other process ends before it has read it."""
         self.send_json(message.to_json())
 
     def send_json(self, message: dict[str, Any]) -> None:
-        """Write one message that is in its JSON form already."""
+        """Write one message that is already in its JSON form."""
         self.writer.write(orjson.dumps(message) + b"\n")
 
     async def receive(self) -> Received | None:
-        """Return the next message that is no answer; None once the other end has closed or sends no JSON."""
+        """Return the next message that is not an answer; None if the link was closed or carries no JSON."""
         with contextlib.suppress(OSError, ValueError):
             while line := await self.reader.readline():
                 document = orjson.loads(line)
@@ -57,19 +56,19 @@
                 message = parse(document)
                 if not isinstance(message, CallbackAnswered):
                     return message
-                self._answered(message)
+                self._resolve(message)
         return None
 
-    def _answered(self, message: CallbackAnswered) -> None:
-        waiting = self._unanswered.get(message.number)
-        if waiting is not None and not waiting.done():
-            waiting.set_result(message.status)
+    def _resolve(self, message: CallbackAnswered) -> None:
+        answer = self._unanswered.get(message.number)
+        if answer is not None and not answer.done():
+            answer.set_result(message.status)
 
     async def forward_callback(self, body: bytes) -> int | None:
-        """Return the HTTP status with which the other end answers a callback.
+        """Forward a callback to the other process and return the HTTP status of its answer.
 
-        None where neither it nor a process beyond it holds the request; 503 where it does not answer within
-        `CALLBACK_TIMEOUT_S`.
+        None if the request is open neither there nor in a process linked to it; 503 if there is no answer
+        within `CALLBACK_TIMEOUT_S`.
         """
         if self.closed:
             return None
@@ -86,7 +85,7 @@
             del self._unanswered[number]
 
     def close(self) -> None:
-        """Close the connection; callbacks that wait for an answer learn that nobody holds their requests."""
+        """Close the connection; callbacks that wait for an answer get None."""
         self.closed = True
         self.writer.close()
         for answer in self._unanswered.values():
--- a/dunepulley/net/hot_restart/listener.py
+++ b/dunepulley/net/hot_restart/listener.py
@@ -1,4 +1,4 @@
-"""The Unix socket at which a process waits for its child."""
+"""The Unix socket on which a process waits for its child."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
 from dunepulley.net.hot_restart.paths import short_path
 from dunepulley.net.log_events import LogEvent
 
-# After an accept that failed; a child waits several times as long.
+# Delay after a failed accept; a child waits several times as long for its connection.
 ACCEPT_RETRY_S = 0.1
 BACKLOG = 4
-# The file is for this user alone.
+# Only the user of this process may access the socket file.
 FILE_MASK = 0o077
 
 
 class ChildListener:
-    """Owns the socket and its file, and hands on each connection that comes."""
+    """Owns the socket and its file, and calls `on_connection` with each accepted connection."""
 
     def __init__(self, path: str, on_connection: Callable[[socket.socket], None]) -> None:
-        """Without a path nothing is ever listened at."""
+        """Initialise the listener; with an empty path, `listen` does nothing."""
         self.path = path
         self.on_connection = on_connection
         self.socket: socket.socket | None = None
         self._inode = 0
 
     def listen(self) -> None:
-        """Listen at the path, in the place of whichever process listened there before.
+        """Listen at the path, replacing the socket of any process that listened there before.
 
-        A path that cannot be used is logged: the process serves, but no child will find it.
+        If the path cannot be used, that is logged: the process serves, but no child process will find it.
         """
         if not self.path:
             return
         listening = socket.socket(socket.AF_UNIX, socket.SOCK_STREAM)
-        # Created beside the path and renamed: a child finds the former socket or this one, never none.
+        # Created under a temporary name and renamed, so that a child always finds a socket at the path.
         temporary = f"{self.path}.{os.getpid()}"
         try:
             self._bind(listening, temporary)
@@ -55,15 +55,15 @@
     def _bind(self, listening: socket.socket, temporary: str) -> None:
         with contextlib.suppress(FileNotFoundError):
             if not stat.S_ISSOCK(os.lstat(self.path).st_mode):
-                raise OSError("it is there, and no socket")
+                raise OSError("the path exists and is not a socket")
         with contextlib.suppress(FileNotFoundError):
             os.unlink(temporary)
         with short_path(temporary) as short:
-            former_mask = os.umask(FILE_MASK)
+            previous_mask = os.umask(FILE_MASK)
             try:
                 listening.bind(short)
             finally:
-                os.umask(former_mask)
+                os.umask(previous_mask)
         listening.listen(BACKLOG)
         listening.setblocking(False)
         self._inode = os.lstat(temporary).st_ino
@@ -78,8 +78,8 @@
         except BlockingIOError:
             return
         except OSError as error:
-            log.write(LogEvent.HOT_RESTART, f"a successor has to wait: {error.strerror}")
-            # The event loop would call at once again, and again.
+            log.write(LogEvent.HOT_RESTART, f"cannot accept a child process yet: {error.strerror}")
+            # Pause, because the event loop would otherwise call this method again at once.
             loop = asyncio.get_running_loop()
             loop.remove_reader(self.socket)
             loop.call_later(ACCEPT_RETRY_S, self._watch)
@@ -88,14 +88,14 @@
         self.on_connection(connection)
 
     def stop(self) -> None:
-        """Stop listening; the file stays, as a child has put its own in its place or soon will."""
+        """Stop listening, but keep the file: a child has replaced it by its own or soon will."""
         if self.socket is not None:
             asyncio.get_running_loop().remove_reader(self.socket)
             self.socket.close()
             self.socket = None
 
     def close(self) -> None:
-        """Stop listening and remove the file, unless it is another process's by now."""
+        """Stop listening and remove the file, unless another process has replaced it."""
         if self.socket is None:
             return
         self.stop()
--- a/dunepulley/net/hot_restart/state.py
+++ b/dunepulley/net/hot_restart/state.py
@@ -1,7 +1,7 @@
-"""The state that a parent passes on at a child's hello: written here, and read with care.
+"""The state that a parent passes to its child: its JSON form, and how it is read.
 
-The child may be of another version, or see another monotonic clock: what cannot be read is left out, and the
-child goes on with what its own configuration says.
+The child may be of another version, or see another monotonic clock. Parts that cannot be read are ignored,
+and the child uses its own configuration instead.
 """
 
 from __future__ import annotations
@@ -17,16 +17,16 @@
 from dunepulley.net.log_events import LogEvent
 from dunepulley.routing.events import ListUpdateKind
 
-# The state is read within this, or parent and child do not see the same monotonic clock.
+# If more than this seems to pass until the state is read, parent and child see different monotonic clocks.
 MAX_READ_DELAY_MS = 60_000.0
 MAX_CLOCK_BASE_MS = 1e15
 
 
 class ClockState(NamedTuple):
-    """A parent's clock: its reading at monotonic zero, and the monotonic clock when that was written (ms).
+    """A parent's clock, in ms: its reading at monotonic zero, and the monotonic clock at the time of writing.
 
-    `starts` holds, by endpoint id, moments of this clock at which endpoints started, where these are others
-    than discovery told.
+    `starts` holds, by endpoint id, the start times by this clock that differ from those that discovery
+    reported.
     """
 
     base: float
@@ -35,18 +35,18 @@
 
 
 class HotRestartState(NamedTuple):
-    """What a child starts from; lists, drains and plan are in their own JSON forms."""
+    """The state that a child starts from; list, drains and plan are in their own JSON forms."""
 
-    known: dict[str, Any]
+    endpoint_list: dict[str, Any]
     discovery: str
     drains: dict[str, Any]
     clock: ClockState
-    plan: dict[str, Any] | None = None  # none where the parent follows none
+    plan: dict[str, Any] | None = None  # None if the parent follows no plan
 
     def to_json(self) -> dict[str, Any]:
-        """The state as it goes over the link."""
+        """Return the state as it is sent over the link."""
         message = {
-            "known": self.known,
+            "known": self.endpoint_list,
             "discovery": self.discovery,
             "drains": self.drains,
             "clock": self.clock._asdict(),
@@ -55,10 +55,10 @@
 
 
 def inherited_clock(inherited: Inherited, own: Clock) -> Clock:
-    """Return the parent's clock, so that no step of the wall clock moves a time that the parent passes on.
+    """Return the parent's clock, so that a step of the wall clock does not shift the times in its state.
 
-    The child's own clock, where the parent passes none, as an earlier version, or where the two see another
-    monotonic clock.
+    Returns the child's own clock if the parent's version passes none, or if the two processes see different
+    monotonic clocks.
     """
     state = inherited.state.get("clock")
     base, monotonic = (state.get("base"), state.get("monotonic")) if isinstance(state, dict) else (None, None)
@@ -70,7 +70,7 @@
 
 
 def inherited_starts(inherited: Inherited) -> dict[str, float]:
-    """Return, by endpoint id, the starts that the parent knows to be other moments than discovery told."""
+    """Return, by endpoint id, the parent's corrected start times, which differ from the reported ones."""
     state = inherited.state.get("clock")
     starts = state.get("starts") if isinstance(state, dict) else None
     if not isinstance(starts, dict):
@@ -79,25 +79,25 @@
 
 
 def inherited_list(inherited: Inherited, discovery: str, configured: EndpointList) -> EndpointList:
-    """Return the parent's endpoint list, which is newer than the one in the configuration.
+    """Return the parent's endpoint list, which is newer than the configured one.
 
-    The configured one where the parent passes none. The revision is 0 where the parent had its list from
-    another discovery: the revisions of one say nothing to another.
+    Returns the configured list if the parent passes none. The revision is 0 if the parent's list is from
+    another discovery service, because revisions of one service mean nothing to another.
     """
     try:
-        known = parse_endpoint_list(inherited.state["known"], ListUpdateKind.FROM_DISK)
+        received = parse_endpoint_list(inherited.state["known"], ListUpdateKind.FROM_DISK)
     except (KeyError, ValueError) as error:
-        log.write(LogEvent.HOT_RESTART, f"no list was passed on: {error}")
+        log.write(LogEvent.HOT_RESTART, f"no endpoint list from the parent process: {error}")
         return configured
-    if not known.update.entries:
+    if not received.update.entries:
         return configured
-    return known if inherited.state.get("discovery") == discovery else known._replace(revision=0)
+    return received if inherited.state.get("discovery") == discovery else received._replace(revision=0)
 
 
 def inherited_drains(inherited: Inherited, clock: Clock) -> drains.DrainSet:
-    """Return the parent's drains, their ends as moments of this clock; none where they cannot be read."""
+    """Return the parent's drains, with expiry times by this clock; an empty set if they cannot be read."""
     try:
         return drain_json.decode_drain_set(inherited.state.get("drains"), clock)
     except ValueError as error:
-        log.write(LogEvent.HOT_RESTART, f"no drains were passed on: {error}")
+        log.write(LogEvent.HOT_RESTART, f"no drains from the parent process: {error}")
         return drains.DrainSet()
--- a/dunepulley/net/json_lines.py
+++ b/dunepulley/net/json_lines.py
@@ -1,4 +1,4 @@
-"""JSON documents in a stream: each on one line, or indented over several."""
+"""JSON documents in a byte stream: each on one line, or indented over several lines."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 import orjson
 
-# A list of thousands of endpoints is one line; beyond this it is no list.
+# Limit on the length of a line or document. A list of thousands of endpoints on one line is well below it.
 MAX_LINE_BYTES = 64 * 1024 * 1024
 
 STRING = re.compile(rb'"(?:[^"\\]|\\.)*"')
@@ -16,10 +16,10 @@
 
 
 class LineKind(Enum):
-    """What a line is that ends no document."""
+    """The kind of a line that does not end a document."""
 
     EMPTY = "empty"
-    INCOMPLETE = "incomplete"  # a document goes on with the next line
+    INCOMPLETE = "incomplete"  # the document continues on the next line
 
 
 def bracket_depth(line: bytes) -> int:
@@ -32,7 +32,7 @@
 
 
 def parse_whole_line(line: bytes) -> Any:
-    """Return the document on a line; None where it is empty, or a part of an indented document."""
+    """Return the document on a line; None if the line is empty or part of an indented document."""
     try:
         return orjson.loads(line)
     except orjson.JSONDecodeError:
@@ -40,31 +40,31 @@
 
 
 class JsonLines:
-    """Puts the chunks of a stream together to lines, and lines to documents."""
+    """Assembles the chunks of a stream into lines, and lines into documents."""
 
     def __init__(self) -> None:
-        self._rest = b""  # of a line whose end has not come
-        self._document = bytearray()  # an indented document whose end has not come
+        self._partial_line = b""
+        self._document = bytearray()  # the lines received so far of an indented document
         self._depth = 0
 
     def split(self, chunk: bytes) -> list[bytes]:
-        """Return the lines that end in a chunk; raises ValueError where a line or document has no end."""
-        *lines, self._rest = (self._rest + chunk).split(b"\n")
-        if len(self._rest) + len(self._document) > MAX_LINE_BYTES:
-            raise ValueError("a line without end")
+        """Return the lines that end in a chunk; raises ValueError if a line or document is too long."""
+        *lines, self._partial_line = (self._partial_line + chunk).split(b"\n")
+        if len(self._partial_line) + len(self._document) > MAX_LINE_BYTES:
+            raise ValueError(f"expected a line of at most {MAX_LINE_BYTES} bytes, got a longer one")
         return lines
 
     def parse(self, line: bytes) -> Any:
-        """Return the document that ends with a line, or the `LineKind` of a line that ends none.
+        """Return the document that ends with a line, or a `LineKind` if no document ends there.
 
-        Raises ValueError where a document is cut short or is no JSON.
+        Raises ValueError if a document is incomplete or is not valid JSON.
         """
         if not self._document:
             document = parse_whole_line(line)
             if document is not None:
                 return document
         elif not line.strip():
-            raise ValueError("a list that breaks off")
+            raise ValueError("incomplete JSON document before an empty line")
         self._document += line
         self._depth += bracket_depth(line)
         if self._depth > 0:
--- a/dunepulley/net/log.py
+++ b/dunepulley/net/log.py
@@ -9,18 +9,19 @@
 
 from dunepulley.net.log_events import LogEvent
 
-# An event that is written more often than this is counted instead: a day full of faults stays readable.
+# An event gets this many lines per period; further lines are only counted, so that the log stays readable
+# while faults repeat.
 LINES_PER_PERIOD = 5
 PERIOD_S = 10.0
-# A line is cut off behind this many characters.
+# Longer lines are truncated.
 MAX_LINE_CHARACTERS = 2000
 
 
 @dataclass(slots=True)
 class Period:
-    """The lines of one event since `begun_s` of the monotonic clock."""
+    """The number of lines of one event since `started_s` by the monotonic clock."""
 
-    begun_s: float
+    started_s: float
     written: int = 0
     suppressed: int = 0
 
@@ -29,14 +30,14 @@
 
 
 def write(event: str, text: str) -> None:
-    """Write one line, unless its event has had its lines for this period; the rest are counted."""
+    """Write one line, or only count it if its event has used up its lines for this period."""
     now = time.monotonic()
     period = _periods.get(event)
     if period is None:
         period = _periods[event] = Period(now)
-    elif now - period.begun_s >= PERIOD_S:
+    elif now - period.started_s >= PERIOD_S:
         if period.suppressed:
-            _print(event, f"{period.suppressed} more lines were left out")
+            _print(event, f"{period.suppressed} more lines were suppressed")
         period = _periods[event] = Period(now)
     if period.written < LINES_PER_PERIOD:
         period.written += 1
@@ -50,13 +51,13 @@
     try:
         print(f"dunepulley {event}: {line}", file=sys.stderr, flush=True)
     except OSError:
-        pass  # nobody reads the log any more: no reason to stop serving
+        pass  # the reader of standard error is gone; keep serving
 
 
 class LibraryLogHandler(logging.Handler):
-    """Brings what libraries log under the same rate limit."""
+    """Writes messages that libraries log, under the same rate limit."""
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Write a library's message, with the exception that goes with it."""
+        """Write a library's message, with its exception if there is one."""
         cause = f": {record.exc_info[1]!r}" if record.exc_info else ""
         write(LogEvent.LIBRARY, record.getMessage() + cause)
--- a/dunepulley/net/loop_timers.py
+++ b/dunepulley/net/loop_timers.py
@@ -1,4 +1,4 @@
-"""Timers of the event loop that put a message on the queue when they are due."""
+"""Timers of the event loop that put a message on the queue when they expire."""
 
 from __future__ import annotations
 
@@ -9,15 +9,15 @@
 from dunepulley.net.messages import EndpointRefreshDue
 from dunepulley.routing.events import TimerFired
 
-# The event loop takes no timer of years: after an hour the endpoints are looked at anyway.
+# The event loop does not support timers of years, so the endpoints are refreshed every hour at the latest.
 MAX_REFRESH_WAIT_S = 3600.0
 
 
 class LoopTimers:
-    """Owns the router's timers and the one for the next refresh of the endpoints.
+    """Owns the router's timers, and the timer for the next refresh of the endpoints.
 
     Args:
-        put: takes the message of a timer that is due.
+        put: called with the message of an expired timer.
     """
 
     def __init__(self, put: Callable[[Any], None]) -> None:
@@ -26,7 +26,7 @@
         self.refresh_timer: asyncio.TimerHandle | None = None
 
     def set_router_timer(self, delay_ms: float, token: int) -> None:
-        """Have `TimerFired` with this token put after a delay."""
+        """Put `TimerFired` with this token on the queue after a delay."""
 
         def fire() -> None:
             self.router_timers.discard(handle)
@@ -36,7 +36,10 @@
         self.router_timers.add(handle)
 
     def schedule_refresh(self, delay_ms: float) -> None:
-        """Have `EndpointRefreshDue` put after a delay, not at all if that is infinite; replaces the last."""
+        """Put `EndpointRefreshDue` on the queue after a delay, replacing the previous refresh timer.
+
+        With an infinite delay no timer is set.
+        """
         if self.refresh_timer is not None:
             self.refresh_timer.cancel()
             self.refresh_timer = None
--- a/dunepulley/net/messages.py
+++ b/dunepulley/net/messages.py
@@ -1,8 +1,8 @@
-"""What other parts of the process put on the queue of `Core`, and the records that tie ids to sockets.
+"""The messages on the queue of `Core`, and the records of requests and attempts in flight.
 
 Router events (`TimerFired`, `HealthCheckEnded`, `GossipReceived`, `SlowStartBudgetAssigned`) and lists from
-discovery (`config.Listed`) go on the queue as they are. A message with an `answer` is a question: `Core.ask`
-makes the future, and the handler resolves it unless whoever asked no longer waits.
+discovery (`endpoint_list.EndpointList`) are queued unchanged. A message with an `answer` is a query:
+`Core.ask` creates the future, and the handler resolves it unless the caller no longer waits.
 """
 
 from __future__ import annotations
@@ -20,15 +20,15 @@
     from dunepulley.net.endpoint_view import EndpointDescriptions
     from dunepulley.net.zone_statistics import ZoneReport
 
-# The shortest timeout that the router is told of.
+# The shortest timeout that is passed to the router.
 MIN_TIMEOUT_MS = 1.0
 
 
 class Answer(NamedTuple):
-    """What a client gets.
+    """The final answer to a client.
 
     `kind` is the type of the router's event or command that ended the request: `AttemptEnded` with the
-    response in `body`, `Reject` with the time of Retry-After in `retry_after_ms`, or `Fail`.
+    response in `body`, `Reject` with the Retry-After time in `retry_after_ms`, or `Fail`.
     """
 
     kind: type
@@ -37,10 +37,10 @@
 
 
 class PendingRequest:
-    """A request as it was received: the bytes to forward unchanged, and the answer that its client awaits.
+    """A request as it was received: the bytes to forward unchanged, and the future of its answer.
 
     `received_ms` is Unix time by the clock of `Core`. `client_closed` asks the operating system whether the
-    client has closed its connection, which the event loop may not have read yet.
+    client has closed its connection, which the event loop may not have noticed yet.
     """
 
     __slots__ = ("arrived", "received_ms", "target", "headers", "body", "answer", "client_closed")
@@ -63,7 +63,7 @@
         self.answer: asyncio.Future[Answer] = asyncio.get_running_loop().create_future()
 
     def settle(self, answer: Answer) -> None:
-        """Give the final answer, unless there is one already or the client has disconnected."""
+        """Set the final answer, unless there is one already or the client has disconnected."""
         if not self.answer.done():
             self.answer.set_result(answer)
 
@@ -71,21 +71,21 @@
 class UpstreamAttempt:
     """One attempt to have an endpoint run a request.
 
-    Times: `started_ms` is when the router started it and `start_before_ms` the latest moment for its first
-    byte, both in Unix ms by the clock of `Core`; `timeout_ms` is its limit; `deadline_s` is when that limit
-    is over and `timeout_sent_s` when the time left was last written into its headers, both in seconds by the
-    event loop's clock.
+    Times: `started_ms` is when the router started it and `start_before_ms` the latest time for its first
+    byte, both in Unix ms by the clock of `Core`; `timeout_ms` is its timeout; `deadline_s` is when that
+    timeout expires and `timeout_sent_s` when the remaining time was last written into its headers, both in
+    seconds by the event loop's clock.
 
     Flags, each set once:
-        reused_connection: it went over a connection that was open already.
+        reused_connection: it was sent over a connection that was open already.
         write_started: its first byte was about to be written.
         fully_written: its last byte has left the process.
-        response_started: the endpoint has answered.
+        response_started: the endpoint has begun to respond.
         callback_received: the endpoint has sent a callback about it.
-        cancelled: it is given up; nothing more of it may be sent.
+        cancelled: it was cancelled; nothing more of it may be sent.
         start_refused: `Core.may_begin` found that it must not start any more.
 
-    `result` is empty until it has ended.
+    `result` is empty until the attempt has ended.
     """
 
     __slots__ = ("request", "number", "endpoint_id", "address", "timeout_ms", "started_ms")
@@ -140,7 +140,7 @@
 
 
 class CallbackState(StrEnum):
-    """What an endpoint's callback says of an attempt; the values are those on the wire."""
+    """The state of an attempt in an endpoint's callback; the values are those on the wire."""
 
     STARTED = "started"
     RUNNING = "running"
@@ -151,7 +151,7 @@
 
 
 class CallbackReceived(NamedTuple):
-    """An endpoint's callback; `progress` is the part done, `result` the response of one that is done."""
+    """An endpoint's callback; `progress` is the completed fraction, `result` the response once it is done."""
 
     request_id: str
     endpoint_id: str
@@ -162,48 +162,48 @@
 
 
 class DrainsChanged(NamedTuple):
-    """Operators' drains; the answer is whether they are taken: older ones than those in force are not."""
+    """Operators' drains; the answer is whether they were accepted: older ones than the current are not."""
 
     drains: DrainSet
     answer: asyncio.Future[bool]
 
 
 class PlanReceived(NamedTuple):
-    """The fleet's traffic plan; the answer is whether this dispatcher goes by it now."""
+    """The fleet's traffic plan; the answer is whether this dispatcher follows it now."""
 
-    held: PlanLease
+    lease: PlanLease
     answer: asyncio.Future[bool]
 
 
 class EndpointRefreshDue(NamedTuple):
-    """A drain may have ended, or the plan or the health of endpoints may route elsewhere now."""
+    """A drain may have expired, or the plan or the health of endpoints may select other endpoints now."""
 
 
 class EndpointCountRequested(NamedTuple):
-    """How many endpoints are listed, and how many of these are avoided."""
+    """Queries how many endpoints are listed, and how many of these the router avoids."""
 
     answer: asyncio.Future[tuple[int, int]]
 
 
 class EndpointsRequested(NamedTuple):
-    """How this dispatcher sees each endpoint, and the kinds that request classes are bound to."""
+    """Queries the state of each endpoint at this dispatcher, and the kinds that request classes require."""
 
     answer: asyncio.Future[EndpointDescriptions]
 
 
 class ZoneReportRequested(NamedTuple):
-    """What this dispatcher observes of the zones."""
+    """Queries what this dispatcher observes of the zones."""
 
     answer: asyncio.Future[ZoneReport]
 
 
 class WarmStateRequested(NamedTuple):
-    """The router's warm state, for the process that takes over."""
+    """Queries the router's warm state, for the child process of a hot restart."""
 
     answer: asyncio.Future[dict[str, Any]]
 
 
 class WarmStateReceived(NamedTuple):
-    """The warm state of the process before this one, as it was read: it may be malformed."""
+    """The parent process's warm state as it was read, unvalidated."""
 
     state: Any
--- a/dunepulley/net/metrics.py
+++ b/dunepulley/net/metrics.py
@@ -1,4 +1,4 @@
-"""The metrics that DUMP prints, in the operators' form, read from the counters as they stand.
+"""The metrics that DUMP prints, in the operators' format, computed from the counters.
 
 A line is `edge_router.<name>:<number>|<type>`, of type `c` for a counter and `g` for a gauge.
 """
@@ -11,19 +11,20 @@
 from dunepulley.net.counters import ATTEMPTS_WRITTEN, Counters
 
 PREFIX = "edge_router"
-# What a response is to the request's class.
+# The outcome that a response counts as in the metrics of its request class.
 ANSWERED, REJECTED, FAILED = OUTCOMES = ("answered", "deferred", "errored")
-# What would end a name or a line; it is escaped, so that no two request classes share a metric.
+# Characters that could end a metric's name or line. They are escaped, not replaced, so that no two request
+# classes share a metric.
 UNSAFE_CHARACTER = re.compile(r"[^A-Za-z0-9_-]")
 
 
 def outcome_counter(request_class: str, outcome: str) -> str:
-    """The name of the counter of a class's requests that ended with one of `OUTCOMES`."""
+    """Return the name of the counter of a class's requests that ended with one of `OUTCOMES`."""
     return f"{outcome} {request_class}"
 
 
-def metric_part(request_class: str) -> str:
-    """The name of a request class as a part of a metric's name."""
+def escape_class_name(request_class: str) -> str:
+    """Return the name of a request class, escaped for use in a metric's name."""
     return UNSAFE_CHARACTER.sub(lambda found: f"%{ord(found[0]):02x}", request_class)
 
 
@@ -34,9 +35,9 @@
     endpoints_listed: int,
     endpoints_avoided: int,
 ) -> list[str]:
-    """All metrics, one a line."""
+    """Return all metrics, one per line."""
     lines = [
-        f"{PREFIX}.transactions.{metric_part(request_class)}.{outcome}"
+        f"{PREFIX}.transactions.{escape_class_name(request_class)}.{outcome}"
         f":{counters[outcome_counter(request_class, outcome)]}|c"
         for request_class in request_classes
         for outcome in OUTCOMES
--- a/dunepulley/net/peers.py
+++ b/dunepulley/net/peers.py
@@ -1,6 +1,6 @@
-"""Gossip between dispatchers, as datagrams on the clients' address: small, and lost without harm.
+"""Gossip between dispatchers: small UDP datagrams on the address that clients use; losing some is harmless.
 
-`Peers` owns the one socket. What is sent to whom is the router's decision.
+`Peers` owns the socket. The router decides which messages are sent to which dispatcher.
 """
 
 from __future__ import annotations
@@ -15,13 +15,13 @@
 from dunepulley.routing.commands import SendGossip
 from dunepulley.routing.events import GossipReceived
 
-# While this host has no descriptor or memory for the socket it is asked for again, for so long.
-RETRY_S = 0.1
+# If this host has no descriptor or memory for the socket, opening is retried at this interval, up to a limit.
+RETRY_INTERVAL_S = 0.1
 MAX_RETRY_S = 5.0
 
 
 class Peers(asyncio.DatagramProtocol):
-    """Sends gossip to the dispatchers listed, by their numbers, and takes gossip from them alone."""
+    """Sends gossip to the listed dispatchers, by number, and accepts gossip only from them."""
 
     def __init__(
         self,
@@ -30,38 +30,38 @@
         put: Callable[[GossipReceived], None],
         counters: Counters,
     ) -> None:
-        """`addresses` are those of all dispatchers, of which this is the one with that number."""
+        """`addresses` are those of all dispatchers; `number` is the index of this one."""
         self.number = number
         self.addresses = addresses
         self.number_by_address = {address: number for number, address in enumerate(addresses)}
         self.put = put
         self.counters = counters
         self.transport: asyncio.DatagramTransport | None = None
-        self._wanted = False  # from `open` until `close`
+        self._is_open = False  # true from `open` until `close`
 
     async def open(self, address: tuple[str, int]) -> None:
-        """Receive at this dispatcher's own address, from which messages are sent, too.
+        """Open the socket at this dispatcher's own address, for sending and receiving.
 
-        Raises OSError where that cannot be, or not within `MAX_RETRY_S`.
+        Raises OSError if the socket cannot be opened within `MAX_RETRY_S`.
         """
         loop = asyncio.get_running_loop()
         deadline = loop.time() + MAX_RETRY_S
-        self._wanted = True
-        while self._wanted:
+        self._is_open = True
+        while self._is_open:
             try:
                 await loop.create_datagram_endpoint(lambda: self, local_addr=address)
                 return
             except OSError as error:
                 if error.errno not in OUT_OF_DESCRIPTORS | OUT_OF_MEMORY or loop.time() > deadline:
                     raise
-            await asyncio.sleep(RETRY_S)
+            await asyncio.sleep(RETRY_INTERVAL_S)
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keep the transport of the socket."""
+        """Store the transport of the socket."""
         self.transport = transport
 
     def send(self, message: SendGossip) -> None:
-        """Send a message to one other dispatcher, or to all where its recipient is negative."""
+        """Send a message to one other dispatcher, or to all if its recipient is negative."""
         if self.transport is None:
             return
         payload = encode_gossip(message)
@@ -72,11 +72,11 @@
                 self.transport.sendto(payload, self.addresses[number])
 
     def datagram_received(self, data: bytes, addr: tuple[Any, ...]) -> None:
-        """Take a message; what is none, or comes from no dispatcher listed, is dropped and counted."""
+        """Queue a received message; malformed ones and those of unlisted senders are dropped and counted."""
         sender = self.number_by_address.get(addr[:2])
         try:
             if sender is None:
-                raise ValueError("not from a dispatcher")
+                raise ValueError("the sender is not a listed dispatcher")
             message = decode_gossip(sender, data)
         except ValueError:
             self.counters["notes dropped"] += 1
@@ -85,12 +85,12 @@
         self.put(message)
 
     def error_received(self, exc: OSError) -> None:
-        """Count a message that nobody received: that dispatcher is restarting, or gone."""
+        """Count a message that could not be delivered: its recipient is restarting or has ended."""
         self.counters["notes unheard"] += 1
 
     def close(self) -> None:
-        """Close the socket, and give up waiting for one."""
-        self._wanted = False
+        """Close the socket, and stop retrying to open it."""
+        self._is_open = False
         if self.transport is not None:
             self.transport.close()
             self.transport = None
--- a/dunepulley/net/plan_view.py
+++ b/dunepulley/net/plan_view.py
@@ -1,7 +1,7 @@
-"""The endpoints that a traffic plan leaves to a dispatcher, computed anew only when an input changed.
+"""The endpoints that a traffic plan selects for a dispatcher, recomputed only when an input has changed.
 
-They are asked for four times a second, and twice at each change of the list; most of these calls find all
-inputs as they were, and ranking thousands of endpoints for them would cost more than the requests do.
+They are queried four times a second, and twice at each change of the list. In most of these calls all inputs
+are unchanged, and ranking thousands of endpoints each time would cost more than serving the requests.
 """
 
 from __future__ import annotations
@@ -17,7 +17,7 @@
 
 
 class ReadyEntries(NamedTuple):
-    """The endpoints that are ready by the list and these drains, valid until a time in Unix ms."""
+    """The endpoints that are ready according to the list and these drains; valid until a Unix time in ms."""
 
     entries: list[EndpointEntry]
     drains: DrainSet
@@ -25,39 +25,41 @@
 
 
 class PlanInputs(NamedTuple):
-    """All that `Follower.select` depends on: while these are equal, so is its result."""
+    """All inputs of `Follower.select`: equal inputs give an equal result."""
 
     ready: list[EndpointEntry]
     plan: Plan
-    holds: bool
+    in_force: bool
     escaped: bool
     ejected: frozenset[str]
     required_kinds: frozenset[str]
 
 
 class PlanView:
-    """Caches which endpoints are ready, and which of these the plan last left to this dispatcher."""
+    """Caches the ready endpoints, and the ids of those that the plan last selected for this dispatcher."""
 
     def __init__(self) -> None:
         self._ready: ReadyEntries | None = None
         self._inputs: PlanInputs | None = None
-        self._visible: frozenset[str] = frozenset()
+        self._usable_ids: frozenset[str] = frozenset()
 
-    def list_changed(self) -> None:
-        """Forget which endpoints are ready: the list has changed."""
+    def invalidate(self) -> None:
+        """Discard the cached ready endpoints, because the list has changed."""
         self._ready = None
 
-    def ready(self, now: float, entries: dict[str, EndpointEntry], drains: DrainSet) -> list[EndpointEntry]:
-        """The ready endpoints; the same object until the list or what is drained changes."""
-        known = self._ready
-        if known is None or known.drains is not drains or now >= known.valid_until_ms:
+    def ready_entries(
+        self, now: float, entries: dict[str, EndpointEntry], drains: DrainSet
+    ) -> list[EndpointEntry]:
+        """Return the ready endpoints; the same list object until the list or the drains in force change."""
+        cached = self._ready
+        if cached is None or cached.drains is not drains or now >= cached.valid_until_ms:
             ready = [
                 entry for entry in entries.values() if drains.state_of(entry, now) == EndpointState.READY
             ]
-            known = self._ready = ReadyEntries(ready, drains, drains.next_expiry_ms(now))
-        return known.entries
+            cached = self._ready = ReadyEntries(ready, drains, drains.next_expiry_ms(now))
+        return cached.entries
 
-    def visible(
+    def usable_ids(
         self,
         now: float,
         follower: Follower,
@@ -65,12 +67,12 @@
         ejected: set[str],
         required_kinds: set[str],
     ) -> frozenset[str]:
-        """The ids of the ready endpoints that `follower` uses now."""
-        holds, escaped = follower.has_valid_plan(now), now < follower.escape_ends_ms
+        """Return the ids of the ready endpoints that `follower` uses now."""
+        in_force, escaped = follower.has_valid_plan(now), now < follower.escape_ends_ms
         inputs = PlanInputs(
-            ready, follower.lease.plan, holds, escaped, frozenset(ejected), frozenset(required_kinds)
+            ready, follower.lease.plan, in_force, escaped, frozenset(ejected), frozenset(required_kinds)
         )
         if inputs != self._inputs:
-            self._visible = follower.select(now, ready, ejected, required_kinds)
+            self._usable_ids = follower.select(now, ready, ejected, required_kinds)
             self._inputs = inputs
-        return self._visible
+        return self._usable_ids
--- a/dunepulley/net/process.py
+++ b/dunepulley/net/process.py
@@ -1,4 +1,4 @@
-"""The process of a dispatcher: signals, start, end, and the exit code."""
+"""The process of a dispatcher: signals, start, shutdown and exit code."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 async def serve(config: DispatcherConfig) -> int:
     """Serve until SIGTERM or SIGINT, or until a child process has taken over; return the exit code.
 
-    Raises ConfigError where the configuration cannot be used.
+    Raises ConfigError if the configuration cannot be used.
     """
     loop = asyncio.get_running_loop()
     _log_library_messages(loop)
@@ -32,15 +32,16 @@
         loop.add_signal_handler(number, terminated.set)
     service = _create_service(config)
     _handle_operator_signals(loop, service)
-    ends = [
-        asyncio.create_task(event.wait()) for event in (terminated, service.failed, service.handover.finished)
+    end_waits = [
+        asyncio.create_task(event.wait())
+        for event in (terminated, service.failed, service.hot_restart_actions.finished)
     ]
     try:
-        return await _run(service, terminated, ends)
+        return await _run(service, terminated, end_waits)
     finally:
-        for end in ends:
-            end.cancel()
-        # From here on there is nothing left to reload.
+        for end_wait in end_waits:
+            end_wait.cancel()
+        # Block further signals: the service can no longer be reloaded.
         signal.pthread_sigmask(signal.SIG_BLOCK, OPERATOR_SIGNALS)
         with contextlib.suppress(OSError):
             await service.close()
@@ -48,7 +49,7 @@
 
 
 def _create_service(config: DispatcherConfig) -> Service:
-    """Create the dispatcher, with what the process that serves passes on, if there is one."""
+    """Create the dispatcher, with the state of the parent process if there is one."""
     try:
         path = socket_path(config.temp_dir, *config.listen)
         return Service(config, request_parent_state(path, config.name))
@@ -57,25 +58,25 @@
 
 
 def _handle_operator_signals(loop: asyncio.AbstractEventLoop, service: Service) -> None:
-    """Reload on SIGHUP and print the counters on SIGUSR1, also where they were sent before this."""
+    """Reload on SIGHUP and print the counters on SIGUSR1, also for signals that are pending already."""
     loop.add_signal_handler(signal.SIGHUP, service.reload)
     loop.add_signal_handler(signal.SIGUSR1, lambda: print_counters(service.counters))
     signal.pthread_sigmask(signal.SIG_UNBLOCK, OPERATOR_SIGNALS)
 
 
-async def _run(service: Service, terminated: asyncio.Event, ends: list[asyncio.Task]) -> int:
-    """Start, serve until one of `ends` is done, and finish what was accepted if that is a SIGTERM.
+async def _run(service: Service, terminated: asyncio.Event, end_waits: list[asyncio.Task]) -> int:
+    """Start, serve until one of `end_waits` is done, and after a SIGTERM finish the accepted requests.
 
     Returns the exit code.
     """
     starting = asyncio.create_task(service.start())
-    await asyncio.wait([starting, *ends], return_when=asyncio.FIRST_COMPLETED)
+    await asyncio.wait([starting, *end_waits], return_when=asyncio.FIRST_COMPLETED)
     if starting.done():
         starting.result()
         _freeze_objects()
         host, _ = service.config.listen
         log.write(LogEvent.SERVICE, f"{service.config.name} listens at {host}:{service.port}")
-        await asyncio.wait(ends, return_when=asyncio.FIRST_COMPLETED)
+        await asyncio.wait(end_waits, return_when=asyncio.FIRST_COMPLETED)
         if terminated.is_set():
             await service.finish()
     elif terminated.is_set():
@@ -87,7 +88,7 @@
 
 
 def _freeze_objects() -> None:
-    """Spare the garbage collector what lives as long as the process does."""
+    """Exclude the objects that exist now, which live as long as the process, from garbage collection."""
     gc.collect()
     gc.freeze()
 
--- a/dunepulley/net/recorder.py
+++ b/dunepulley/net/recorder.py
@@ -1,4 +1,4 @@
-"""Writes down what comes in, when the configuration asks for it: a bounded trace."""
+"""Records received requests in a trace file of bounded size, if the configuration asks for it."""
 
 from __future__ import annotations
 
@@ -11,150 +11,163 @@
 from dunepulley.net import log
 from dunepulley.net.log_events import LogEvent
 
-# A process that starts leaves those before it, or beside it in an upgrade, theirs.
+# Maximum number of trace files with the same base name. A process never overwrites the trace of an earlier
+# process, or of the other process of a hot restart.
 MAX_FILES = 100
-# After a failure the file is tried again this often, by the clock that items come with.
-TRY_AGAIN_MS = 10_000.0
-# What a disk or a limit does for a while; anything else at the start is a setting that cannot be used.
-PASSING = frozenset(
+# Interval at which a failed file is opened again, by the clock that requests are recorded with.
+RETRY_INTERVAL_MS = 10_000.0
+# Errors of a disk or a limit that may pass; any other error at the start means that the path is unusable.
+TRANSIENT_ERRORS = frozenset(
     {errno.ENOSPC, errno.EDQUOT, errno.EIO, errno.EMFILE, errno.ENFILE, errno.ENOMEM, errno.EFBIG}
 )
 
 
-def _new(path: str) -> tuple[str, BinaryIO]:
-    """A file that was not there: the name itself, or with a number behind it."""
+def _open_new_file(path: str) -> tuple[str, BinaryIO]:
+    """Create a file that does not exist yet: at the path itself, or with a number appended to it.
+
+    Returns the name and the file. Raises FileExistsError if all names are taken.
+    """
     for number in range(MAX_FILES):
         name = f"{path}.{number}" if number else path
         try:
             return name, open(name, "xb", buffering=65536)
-        except FileExistsError as problem:
-            taken = problem
+        except FileExistsError as error:
+            taken = error
     raise taken
 
 
-def _cut(file: BinaryIO) -> None:
-    """Take away a line that was written in part, and go to the end of what is left."""
+def _truncate_partial_line(file: BinaryIO) -> None:
+    """Truncate an incomplete last line, and seek to the end of the file."""
     size = file.seek(0, os.SEEK_END)
     start = max(0, size - trace_format.MAX_LINE_BYTES)
     file.seek(start)
-    whole = start + file.read().rfind(b"\n") + 1
-    if whole < size:
-        file.truncate(whole)
-    file.seek(whole)
+    complete = start + file.read().rfind(b"\n") + 1
+    if complete < size:
+        file.truncate(complete)
+    file.seek(complete)
 
 
 class Recorder:
-    """Owns the file; it is given back when it is full, and at the end.
+    """Owns the trace file, which is closed once it is full, and at the end of the process.
 
-    A write that fails costs the lines that were not yet in the file, and those that come until it can be
-    written again; it is told once when that begins and once when it is over.
+    If a write fails, the buffered lines are lost, and so are later ones until the file can be written again.
+    One line is logged when recording stops, and one when it resumes.
     """
 
-    def __init__(self, path: str, most: int, name: str) -> None:
-        """Raises `OSError` where the path cannot be used at all, not where only the disk is in trouble."""
-        self.left = most
+    def __init__(self, path: str, max_requests: int, name: str) -> None:
+        """Open the trace file at `path` for at most `max_requests` requests; `name` is the dispatcher's.
+
+        Raises OSError if the path is unusable, but not for errors of the disk that may pass.
+        """
+        self.remaining = max_requests
         self.name = name
         self.path = path
-        self.first: float | None = None
+        self.start_ms: float | None = None
         self.file: BinaryIO | None = None
-        # When the file is tried again, where it is not open though there is more to write.
-        self.try_at = 0.0
+        # While the file is closed after a failure: when it is opened again.
+        self.retry_at_ms = 0.0
         try:
-            self._begin()
+            self._create()
         except FileExistsError:
-            self.left = 0
+            self.remaining = 0
             log.write(
                 LogEvent.RECORDER,
-                f"nothing is written: {path} and {MAX_FILES - 1} names beside it are taken",
+                f"no trace is recorded: {path} and its {MAX_FILES - 1} numbered alternatives are taken",
             )
-        except OSError as problem:
-            if problem.errno not in PASSING:
+        except OSError as error:
+            if error.errno not in TRANSIENT_ERRORS:
                 raise
-            self._stop(problem)
+            self._suspend(error)
 
-    def record_request(self, now: float, category: str, budget: float, hint: float, size: int) -> None:
-        """A work item was taken, at `now` in ms of a steady clock."""
-        if not self.left:
+    def record_request(
+        self, now: float, request_class: str, timeout_ms: float, expected_ms: float, body_bytes: int
+    ) -> None:
+        """Record a request that was received at `now`, in ms of a clock that never steps."""
+        if not self.remaining:
             return
-        if self.first is None:
-            self.first = now
-        item = trace_format.RecordedRequest(round(now - self.first, 3), category, budget, hint, size)
-        again = self.file is None or self.file.closed
+        if self.start_ms is None:
+            self.start_ms = now
+        request = trace_format.RecordedRequest(
+            round(now - self.start_ms, 3), request_class, timeout_ms, expected_ms, body_bytes
+        )
+        was_closed = self.file is None or self.file.closed
         try:
-            if again and not self._open_again(now):
+            if was_closed and not self._reopen(now):
                 return
-            self.file.write(trace_format.encode_request(item))
-            if again:
+            self.file.write(trace_format.encode_request(request))
+            if was_closed:
                 self.file.flush()
-                log.write(LogEvent.RECORDER, "written again; what came in between is missing")
-            self.left -= 1
-            if not self.left:
+                log.write(
+                    LogEvent.RECORDER, "the trace is written again; requests received in between are missing"
+                )
+            self.remaining -= 1
+            if not self.remaining:
                 self.close()
-        except OSError as problem:
-            self._stop(problem, now, quiet=again)
+        except OSError as error:
+            self._suspend(error, now, quiet=was_closed)
 
     def close(self) -> None:
-        """Write out what is left and give the file back."""
-        self.left = 0
+        """Write the buffered lines and close the file."""
+        self.remaining = 0
         if self.file is None or self.file.closed:
             return
         try:
             self.file.close()
-        except OSError as problem:
-            log.write(LogEvent.RECORDER, f"its end is lost: {problem}")
-            self._cut_by_name()
+        except OSError as error:
+            log.write(LogEvent.RECORDER, f"the trace is incomplete, its end is lost: {error}")
+            self._truncate_closed_file()
 
-    def _begin(self) -> None:
-        """Make a file with its head; of one whose head cannot be written nothing is left."""
-        name, file = _new(self.path)
+    def _create(self) -> None:
+        """Create the file and write its header; the file is removed if the header cannot be written."""
+        name, file = _open_new_file(self.path)
         try:
             file.write(trace_format.encode_header(self.name))
             file.flush()
         except OSError:
-            _drop(file)
-            _remove(name)
+            _close_quietly(file)
+            _unlink_quietly(name)
             raise
         self.path, self.file = name, file
 
-    def _open_again(self, now: float) -> bool:
-        """Open the file after a failure, if it is time to; raises `OSError`."""
-        if now < self.try_at:
+    def _reopen(self, now: float) -> bool:
+        """Open the file after a failure; return False if the retry time has not come. Raises OSError."""
+        if now < self.retry_at_ms:
             return False
         if self.file is None or not os.path.exists(self.path):
-            self._begin()
+            self._create()
             return True
         file = open(self.path, "r+b", buffering=65536)
         try:
-            _cut(file)
+            _truncate_partial_line(file)
             if not file.tell():
                 file.write(trace_format.encode_header(self.name))
         except OSError:
-            _drop(file)
+            _close_quietly(file)
             raise
         self.file = file
         return True
 
-    def _stop(self, problem: OSError, now: float | None = None, quiet: bool = False) -> None:
-        """Give the file back for a while, with whole lines in it."""
+    def _suspend(self, error: OSError, now: float | None = None, quiet: bool = False) -> None:
+        """Close the file until the next retry, and truncate an incomplete last line."""
         if not quiet:
-            log.write(LogEvent.RECORDER, f"no more is written until the file can be written again: {problem}")
-        self.try_at = (0.0 if now is None else now) + TRY_AGAIN_MS
+            log.write(LogEvent.RECORDER, f"no more is written until the trace file can be written: {error}")
+        self.retry_at_ms = (0.0 if now is None else now) + RETRY_INTERVAL_MS
         if self.file is not None and not self.file.closed:
-            _drop(self.file)
-            self._cut_by_name()
+            _close_quietly(self.file)
+            self._truncate_closed_file()
 
-    def _cut_by_name(self) -> None:
-        """Have the file end with a whole line, as far as the disk lets it; a later opening tries again."""
+    def _truncate_closed_file(self) -> None:
+        """Truncate an incomplete last line if the disk allows it; opening the file again retries this."""
         with contextlib.suppress(OSError), open(self.path, "r+b") as file:
-            _cut(file)
+            _truncate_partial_line(file)
 
 
-def _drop(file: BinaryIO) -> None:
-    """Close a file whose buffer cannot be written; its descriptor is given back in any case."""
+def _close_quietly(file: BinaryIO) -> None:
+    """Close a file whose buffer may be impossible to write; its descriptor is released in any case."""
     with contextlib.suppress(OSError):
         file.close()
 
 
-def _remove(path: str) -> None:
+def _unlink_quietly(path: str) -> None:
     with contextlib.suppress(OSError):
         os.unlink(path)
