--- a/dunepulley/net/request_table.py
+++ b/dunepulley/net/request_table.py
@@ -1,6 +1,6 @@
 """The open requests of a dispatcher and their attempts, by request id.
 
-A request is open from its arrival until its client is owed nothing more and its last attempt has ended.
+A request is open from its arrival until it needs no further answer and its last attempt has ended.
 """
 
 from __future__ import annotations
@@ -8,7 +8,7 @@
 from dunepulley.net.messages import Answer, CallbackState, PendingRequest, UpstreamAttempt
 from dunepulley.routing.events import NOT_EXECUTED, AttemptEnded, AttemptResult
 
-# The result of an attempt that its endpoint's callback ends, by the callback's state.
+# The result of an attempt that is ended by its endpoint's callback, by the state in the callback.
 RESULT_OF_CALLBACK = {
     CallbackState.DONE: AttemptResult.COMPLETED,
     CallbackState.FAILED: AttemptResult.ERRORED,
@@ -18,10 +18,10 @@
 
 
 class OpenRequest:
-    """A request whose client awaits an answer, or that has attempts in flight.
+    """A request that still needs an answer or has attempts in flight.
 
-    `attempts` are all of them in the order of their numbers, `attempts_in_flight` counts those that have not
-    ended, and `answered` is set once the client is owed nothing more.
+    `attempts` holds all attempts in the order of their numbers, `attempts_in_flight` counts those that have
+    not ended, and `answered` is set once the request was answered or its client has disconnected.
     """
 
     __slots__ = ("request", "attempts", "attempts_in_flight", "answered")
@@ -33,7 +33,7 @@
         self.answered = False
 
     def attempts_at(self, endpoint_id: str) -> list[UpstreamAttempt]:
-        """All attempts at one endpoint, the latest last."""
+        """Return all attempts at one endpoint, the latest last."""
         return [attempt for attempt in self.attempts if attempt.endpoint_id == endpoint_id]
 
     def is_in_flight_at(self, endpoint_id: str) -> bool:
@@ -44,9 +44,8 @@
 class RequestTable:
     """Owns the open requests.
 
-    Requests that may be complete are removed by `remove_finished` alone, after the commands of a batch: a
-    client may come and go within one batch, and the attempt that its request led to still has to be reported
-    as not sent.
+    Only `remove_finished` removes requests, after the commands of a batch were executed: a client may connect
+    and disconnect within one batch, and an attempt for its request must still be reported as not sent.
     """
 
     def __init__(self) -> None:
@@ -64,36 +63,36 @@
         return self._open[request_id]
 
     def get(self, request_id: str) -> OpenRequest | None:
-        """The open request of this id, if there is one."""
+        """Return the open request with this id, if there is one."""
         return self._open.get(request_id)
 
     def add(self, request: PendingRequest) -> None:
-        """Open a request."""
+        """Add a request that has arrived."""
         self._open[request.arrived.request_id] = OpenRequest(request)
 
     def disconnect(self, request: PendingRequest) -> bool:
-        """Note that the client has disconnected; False if it is owed nothing any more."""
-        item = self._open.get(request.arrived.request_id)
-        if item is None or item.request is not request or item.answered:
+        """Record that the client has disconnected; return False if the request needs no answer any more."""
+        open_request = self._open.get(request.arrived.request_id)
+        if open_request is None or open_request.request is not request or open_request.answered:
             return False
-        item.answered = True
-        self.changed.append(item)
+        open_request.answered = True
+        self.changed.append(open_request)
         return True
 
     def answer(self, request_id: str, answer: Answer) -> bool:
-        """Give a request its final answer; False if it is owed none any more."""
-        item = self._open.get(request_id)
-        if item is None or item.answered:
+        """Give a request its final answer; return False if it needs none any more."""
+        open_request = self._open.get(request_id)
+        if open_request is None or open_request.answered:
             return False
-        item.answered = True
-        item.request.settle(answer)
-        self.changed.append(item)
+        open_request.answered = True
+        open_request.request.settle(answer)
+        self.changed.append(open_request)
         return True
 
     def end_attempt(self, attempt: UpstreamAttempt, result: str, body: bytes = b"") -> bool:
-        """End an attempt, and answer its request if it completed; False if it had ended before.
+        """End an attempt, and answer its request if it completed; return False if it had ended before.
 
-        The one place where attempts end: the first result counts, later ones are ignored.
+        All attempts end here: the first result counts, later ones are ignored.
         """
         if attempt.result:
             return False
@@ -101,28 +100,33 @@
         if attempt.timer is not None:
             attempt.timer.cancel()
             attempt.timer = None
-        item = self._open[attempt.request.arrived.request_id]
-        item.attempts_in_flight -= 1
-        if result == AttemptResult.COMPLETED and not item.answered:
-            item.answered = True
-            item.request.settle(Answer(AttemptEnded, body))
-        self.changed.append(item)
+        open_request = self._open[attempt.request.arrived.request_id]
+        open_request.attempts_in_flight -= 1
+        if result == AttemptResult.COMPLETED and not open_request.answered:
+            open_request.answered = True
+            open_request.request.settle(Answer(AttemptEnded, body))
+        self.changed.append(open_request)
         return True
 
     def remove_finished(self) -> None:
         """Remove the requests that are answered and have no attempt in flight."""
-        for item in self.changed:
-            request_id = item.request.arrived.request_id
-            if item.answered and not item.attempts_in_flight and self._open.get(request_id) is item:
+        for open_request in self.changed:
+            request_id = open_request.request.arrived.request_id
+            if (
+                open_request.answered
+                and not open_request.attempts_in_flight
+                and self._open.get(request_id) is open_request
+            ):
                 del self._open[request_id]
         self.changed.clear()
 
 
 def result_of_callback(state: str, earlier: list[UpstreamAttempt]) -> AttemptResult:
-    """The result that a final callback gives the latest attempt at its endpoint.
+    """Return the result of the latest attempt at an endpoint, given the state in the endpoint's callback.
 
-    A callback names the request and the endpoint, not the attempt. After `earlier` attempts there that ended
-    without proof that they never ran, a failure may be one of theirs: then the latest may still be running.
+    A callback identifies the request and the endpoint, but not the attempt. If any of the `earlier` attempts
+    at the endpoint ended without proof that it never ran, a reported failure may be of that attempt, and the
+    latest one may still be running.
     """
     result = RESULT_OF_CALLBACK[state]
     if result is AttemptResult.COMPLETED:
--- a/dunepulley/net/service.py
+++ b/dunepulley/net/service.py
@@ -1,4 +1,4 @@
-"""One dispatcher: its parts, its start, and its end."""
+"""One dispatcher: its components, start and shutdown."""
 
 from __future__ import annotations
 
@@ -31,36 +31,36 @@
 from dunepulley.net.recorder import Recorder
 from dunepulley.net.upstream.client import UpstreamClient
 
-# Of the memory, in bytes for each MB, for what has come of requests that are not complete: a sixteenth.
+# Memory for the received parts of incomplete requests, for each MB of the memory limit: one sixteenth.
 INCOMPLETE_REQUEST_BYTES_PER_MB = 65536
-# Of the descriptors, the part that connections to the admin interface may have; but so many at least.
-ADMIN_CONNECTION_SHARE = 16
+# Connections to the admin interface may use one in this many descriptors, but always a minimum number.
+DESCRIPTORS_PER_ADMIN_CONNECTION = 16
 MIN_ADMIN_CONNECTIONS = 4
 
 
 class Service:
-    """Owns all parts of one dispatcher.
+    """Owns all components of one dispatcher.
 
-    `await start()` returns once connections are accepted; `await finish()` answers what was accepted, and
+    `await start()` returns once connections are accepted; `await finish()` answers the accepted requests, and
     `await close()` closes every socket and task. `failed` is set if a task that should never end has ended;
-    `handover.finished` if a child process has taken over and nothing is open here.
+    `hot_restart_actions.finished` if a child process has taken over and no request is open in this process.
     """
 
     def __init__(self, config: DispatcherConfig, inherited: Inherited | None = None) -> None:
-        """`inherited` is what the parent process of a hot restart passes on, if there is one."""
+        """`inherited` is what the parent process of a hot restart passed, if there is one."""
         if inherited is not None:
-            known = inherited_list(inherited, config.discovery, config.initial_list)
-            config = config._replace(initial_list=known)
+            initial_list = inherited_list(inherited, config.discovery, config.initial_list)
+            config = config._replace(initial_list=initial_list)
         self.config = config
         self.inherited = inherited
         self.counters = Counters()
         self.failed = asyncio.Event()
         self.task: asyncio.Task | None = None
         self.port = self.admin_port = 0
-        sockets = min(config.max_descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
+        max_descriptors = min(config.max_descriptors, resource.getrlimit(resource.RLIMIT_NOFILE)[0])
         self.core = self._create_core()
         self.upstream = UpstreamClient(
-            config.settings, sockets, self.core.put, self.counters, self.core.may_begin
+            config.settings, max_descriptors, self.core.put, self.counters, self.core.may_begin
         )
         self.core.executor.attempt_sender = self.upstream
         self.peers = Peers(
@@ -68,23 +68,23 @@
         )
         self.core.executor.gossip_sender = self.peers
         self.frontend = FrontendServer(
-            self.core, config.settings, sockets, self.counters, config.affinity_key_in_path
+            self.core, config.settings, max_descriptors, self.counters, config.affinity_key_in_path
         )
         self.frontend.server.max_partial_bytes = int(config.memory_mb * INCOMPLETE_REQUEST_BYTES_PER_MB)
         self.admin_commands = AdminCommands(config, self.core, self.frontend, self.counters)
-        self.admin = self._create_admin_server(sockets)
+        self.admin = self._create_admin_server(max_descriptors)
         self.watch = DiscoveryWatch(config, self.core, self.counters, self._task_ended)
-        self.handover = HotRestartActions(
+        self.hot_restart_actions = HotRestartActions(
             self.core, self.frontend, self.upstream, self.peers, self.watch, self._open_gossip
         )
         path = socket_path(config.temp_dir, *config.listen)
-        self.hot_restart = HotRestart(self.handover, path, self.counters)
+        self.hot_restart = HotRestart(self.hot_restart_actions, path, self.counters)
         self.frontend.callbacks.forward = self.hot_restart.forward_callback
 
     def _create_core(self) -> Core:
-        """Create the router's task, by the parent's clock if there is a parent."""
+        """Create the `Core`, with the parent's clock if there is a parent."""
         config, inherited = self.config, self.inherited
-        # The drains of the configuration were read by this clock; all here goes by that of the router's task.
+        # The configured drains were read with this clock; everything else uses the clock of `Core`.
         self.configured_clock = config.clock if config.clock is not None else Clock()
         clock = self.configured_clock
         if inherited is not None:
@@ -94,29 +94,29 @@
             core.endpoints.starts.inherit(config.initial_list.update.entries, inherited_starts(inherited))
         if config.events:
             core.event_log = EventLog(config.name, core.now)
-        if config.plan:
-            # Loaded only here: most dispatchers follow no plan, and every start pays for its imports.
+        if config.follows_plan:
+            # Imported only here: most dispatchers follow no plan, and imports slow down every start.
             from dunepulley.control.plan_application import Follower
 
             core.endpoints.follower = Follower(config.name, str(config.settings.get("zone", "")))
         return core
 
-    def _create_admin_server(self, sockets: int) -> AdminServer:
+    def _create_admin_server(self, max_descriptors: int) -> AdminServer:
         return AdminServer(
-            self.admin_commands.plain(),
-            self.admin_commands.with_argument(),
-            max(MIN_ADMIN_CONNECTIONS, sockets // ADMIN_CONNECTION_SHARE),
+            self.admin_commands.commands(),
+            self.admin_commands.commands_with_argument(),
+            max(MIN_ADMIN_CONNECTIONS, max_descriptors // DESCRIPTORS_PER_ADMIN_CONNECTION),
             self.counters,
         )
 
-    # ---------------------------------------------------------------- the start
+    # ---------------------------------------------------------------- start
 
     async def start(self) -> None:
         """Listen, watch discovery, take over from the parent if there is one, and accept connections.
 
-        Raises ConfigError where an address or the trace cannot be used.
+        Raises ConfigError if an address or the trace file cannot be used.
         """
-        # Before the list is looked at: nothing goes to a drained endpoint, not even at first.
+        # Set before the initial list is processed, so that no request is ever sent to a drained endpoint.
         self.core.endpoints.drains = self.drains_at_start()
         self.inherit_plan()
         self._run_core()
@@ -125,13 +125,13 @@
         self._listen()
         await self._wait_for_first_message()
         if self.inherited is not None:
-            await self.handover.take_over(self.hot_restart, self.inherited)
+            await self.hot_restart_actions.take_over(self.hot_restart, self.inherited)
         await self._open_gossip()
         self.frontend.listener.start_accepting()
         self.hot_restart.listen_for_child()
 
     def drains_at_start(self) -> drains.DrainSet:
-        """Return the newest drains of those in the configuration and those of the parent."""
+        """Return the newest of the configured drains and the parent's drains."""
         ahead_ms = self.core.clock.base - self.configured_clock.base
         candidates = [self.core.endpoints.drains, drains.shift_expiries(self.config.drains, ahead_ms)]
         if self.inherited is not None:
@@ -139,19 +139,19 @@
         return max(candidates, key=lambda candidate: candidate.version)
 
     def inherit_plan(self) -> None:
-        """Follow the parent's traffic plan until the agent tells it again."""
+        """Follow the parent's traffic plan until the agent sends one."""
         if self.core.endpoints.follower is None or self.inherited is None:
             return
-        # Loaded only here: most dispatchers follow no plan.
+        # Imported only here: most dispatchers follow no plan.
         from dunepulley.net.plan_message import parse_plan
 
         try:
-            held = parse_plan(self.inherited.state.get("plan") or {}, self.core.clock)
+            lease = parse_plan(self.inherited.state.get("plan") or {}, self.core.clock)
         except ValueError as error:
-            log.write(LogEvent.HOT_RESTART, f"the plan of the process before cannot be read: {error}")
+            log.write(LogEvent.HOT_RESTART, f"cannot read the traffic plan of the parent process: {error}")
             return
-        if held is not None:
-            self.core.endpoints.follower.accept(held)
+        if lease is not None:
+            self.core.endpoints.follower.accept(lease)
 
     def _run_core(self) -> None:
         self.task = asyncio.create_task(self.core.run())
@@ -168,7 +168,7 @@
             raise ConfigError(f"cannot write {trace.path}: {error.strerror}") from error
 
     def _listen(self) -> None:
-        """Listen for clients and for operators; clients' connections are not accepted yet."""
+        """Listen for clients and for the admin interface; clients' connections are not accepted yet."""
         host, port = self.config.listen
         try:
             if self.inherited is not None:
@@ -183,9 +183,9 @@
             raise ConfigError(f"cannot listen at {host}:{port}: {error.strerror}") from error
 
     async def _wait_for_first_message(self) -> None:
-        """Wait a moment for discovery's first message.
+        """Wait for discovery's first message, for `startup_timeout_s` at most.
 
-        The list of the configuration may be old, and what the agent has counts as told from the start on.
+        The configured list may be outdated, and the dispatcher must act on the agent's list from the start.
         """
         with contextlib.suppress(TimeoutError):
             await asyncio.wait_for(self.watch.first_message.wait(), self.watch.backoff.startup_timeout_s)
@@ -197,41 +197,43 @@
         try:
             await self.peers.open((host, self.port))
         except OSError as error:
-            raise ConfigError(f"no notes at {host}:{self.port}: {error.strerror}") from error
+            raise ConfigError(f"cannot bind gossip to {host}:{self.port}: {error.strerror}") from error
 
-    # ---------------------------------------------------------------- while it serves
+    # ---------------------------------------------------------------- service
 
     def reload(self) -> None:
         """Read the configuration file again (SIGHUP), and watch the discovery that it names now."""
         self.watch.reload(self.config)
 
     def _task_ended(self, task: asyncio.Task) -> None:
-        """A task has ended that never should: without it nothing would be served any more."""
+        """End the process if a permanent task has ended, since without it no requests would be served."""
         if not task.cancelled():
-            log.write(LogEvent.FAULT, f"a task that should run for ever ended: {task.exception()!r}")
+            log.write(LogEvent.FAULT, f"a permanent task ended unexpectedly: {task.exception()!r}")
             self.failed.set()
 
-    # ---------------------------------------------------------------- the end
+    # ---------------------------------------------------------------- shutdown
 
     async def finish(self) -> None:
-        """Serve on for a while, then accept no more and answer what was accepted (SIGTERM)."""
+        """Keep serving for a while, then accept no more requests and answer those accepted (SIGTERM)."""
         await shutdown.finish(self.frontend, self.config.settings)
 
     async def finish_start(self) -> None:
-        """Reject what has come to the address before this process served (SIGTERM during the start)."""
+        """Reject the requests that arrived before this process served (SIGTERM during the start)."""
         if self.inherited is None and self.frontend.listener.socket is not None:
             await shutdown.reject_queued(self.frontend, self.config.settings)
 
     async def close(self) -> None:
         """Close every socket, file and task."""
-        self.handover.cancel()
+        self.hot_restart_actions.cancel()
         await self.hot_restart.close()
         await self.frontend.close()
         self.admin.close()
         if self.frontend.recorder is not None:
             self.frontend.recorder.close()
         self.peers.close()
-        tasks = [task for task in (self.task, self.watch.task, self.handover.task) if task is not None]
+        tasks = [
+            task for task in (self.task, self.watch.task, self.hot_restart_actions.task) if task is not None
+        ]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
--- a/dunepulley/net/system_errors.py
+++ b/dunepulley/net/system_errors.py
@@ -1,12 +1,12 @@
-"""Whose fault a failed system call is, by its error number.
+"""Classifies errors of system calls by their error number: caused by this host, or by the endpoint.
 
-An error of this host says nothing of an endpoint, and another endpoint would fare no better: there is no
-descriptor, memory, port or route for a connection, or a rule of this host forbids it. All other errors of a
-connection are taken for the endpoint's: ECONNREFUSED, ECONNRESET, ETIMEDOUT and EHOSTUNREACH.
+A local error says nothing about an endpoint, and another endpoint would fail in the same way: this host has
+no descriptor, memory, port or route for a connection, or one of its rules forbids it. All other connection
+errors are attributed to the endpoint: ECONNREFUSED, ECONNRESET, ETIMEDOUT and EHOSTUNREACH.
 
-ENETUNREACH is taken for this host's: connect(2) has it where this host has no route, as while its own
-interface or route is away, and then every endpoint has it at once. A machine that is away in a network that
-can be reached shows as EHOSTUNREACH or ETIMEDOUT.
+ENETUNREACH counts as local: connect(2) returns it if this host has no route, for example while its own
+interface or route is down, and then for every endpoint at once. An unreachable machine in a reachable network
+causes EHOSTUNREACH or ETIMEDOUT.
 """
 
 from __future__ import annotations
@@ -19,7 +19,7 @@
     (errno.EADDRNOTAVAIL, errno.EADDRINUSE, errno.ENETUNREACH, errno.ENETDOWN, errno.EPERM, errno.EACCES)
 )
 LOCAL_ERRORS = OUT_OF_DESCRIPTORS | OUT_OF_MEMORY | NO_ROUTE_OR_PERMISSION
-# accept(2): errors that were pending on the connection, which it has taken from the queue.
+# accept(2): errors that were pending on the new connection, which accept has removed from the queue.
 PENDING_SOCKET_ERRORS = frozenset(
     (
         *(errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.ENOPROTOOPT, errno.EHOSTDOWN),
@@ -29,5 +29,5 @@
 
 
 def is_local_error(error: BaseException) -> bool:
-    """Whether an exchange failed by a fault of this host, not of the endpoint."""
+    """Whether an exchange failed because of this host, not because of the endpoint."""
     return getattr(error, "errno", None) in LOCAL_ERRORS
--- a/dunepulley/net/upstream/__init__.py
+++ b/dunepulley/net/upstream/__init__.py
@@ -1,6 +1,6 @@
-"""Everything that goes to endpoints: attempts, their cancellation, health checks, and the connections for it.
+"""The client side towards endpoints: attempts, their cancellation, health checks, and the connections used.
 
 `client.UpstreamClient` owns the client session and one task for each exchange. `request_body` writes an
-attempt's body, `responses` says what a response or a broken connection proves, and `cancellation` tells an
-endpoint that an attempt is given up.
+attempt's body, `responses` classifies responses and connection failures, and `cancellation` asks an endpoint
+to cancel an attempt.
 """
--- a/dunepulley/net/upstream/cancellation.py
+++ b/dunepulley/net/upstream/cancellation.py
@@ -1,4 +1,4 @@
-"""Telling an endpoint that an attempt is given up, until it has heard of it."""
+"""Cancels an attempt at its endpoint, and retries the call until the endpoint has confirmed it."""
 
 from __future__ import annotations
 
@@ -12,26 +12,24 @@
 from dunepulley.net.system_errors import is_local_error
 from dunepulley.net.upstream.responses import endpoint_url, read_response_body
 
-# Ten times the longest way there and back: an endpoint that leaves a request unanswered for this long is down
-# or cut off.
+# Ten times the longest round trip: an endpoint that does not respond within this time is down or unreachable.
 RESPONSE_TIMEOUT_S = 1.0
-# Where requests may not be hedged, an endpoint whose connections come up late is waited for: up to 1.5 s
-# late, after a kept connection that was silent. One that breaks connections is asked again each tenth of a
-# second.
+# Without hedging, the call is retried at this interval, and up to this time in all. It covers an endpoint
+# whose new connections take up to 1.5 s, after a kept connection that did not respond.
 CONFIRMATION_TIMEOUT_S, RETRY_INTERVAL_S = 2.2, 0.1
-# Where they may, an endpoint is asked so often.
-_HEDGED_TRIES = 2
-# An endpoint that ended the connection and then refuses new ones so often in a row is taken for a process
-# that has died. A single one may be refused by a process that lives, as while its listener is opened anew.
+# With hedging, the call is sent at most this many times.
+_MAX_HEDGED_TRIES = 2
+# An endpoint that closed the connection and then refuses this many connections in a row is taken to be dead.
+# A single refusal may come from a live process, for example while it reopens its listening socket.
 _DEAD_AFTER_REFUSALS = 3
-# Bounded where it is used.
+# The callers limit the time with `asyncio.timeout` instead.
 _NO_TIMEOUT = aiohttp.ClientTimeout()
 
 
 class Cancellation:
-    """The DELETE of one attempt, which is sent again while the endpoint may not have heard of it.
+    """The DELETE request for one attempt, retried while the endpoint may not have received it.
 
-    Guards against an attempt that runs on beside the one that takes its place.
+    Guards against an attempt that keeps running beside the attempt that replaces it.
     """
 
     def __init__(
@@ -48,11 +46,11 @@
         self._ended_by_endpoint = ended_by_endpoint
         self._is_hedged = is_hedged
         self._tries = self._refusals = 0
-        # Whether the endpoint has heard of it, or has died.
+        # Whether the endpoint has responded, or is taken to be dead.
         self.is_confirmed = False
 
     async def run(self) -> None:
-        """Send it until it is confirmed or there is no time left."""
+        """Send the DELETE until it is confirmed or the time or the number of tries is used up."""
         loop = asyncio.get_running_loop()
         end_s = loop.time() + (RESPONSE_TIMEOUT_S if self._is_hedged else CONFIRMATION_TIMEOUT_S)
         while not self.is_confirmed and loop.time() < end_s and self._may_try():
@@ -66,7 +64,7 @@
                     await asyncio.sleep(RETRY_INTERVAL_S)
 
     def _may_try(self) -> bool:
-        return self._tries < _HEDGED_TRIES or not self._is_hedged
+        return self._tries < _MAX_HEDGED_TRIES or not self._is_hedged
 
     async def _send(self, timeout_s: float) -> None:
         async with (
@@ -78,14 +76,14 @@
             await read_response_body(response)
 
     def _record_failure(self, error: Exception) -> bool:
-        """Count a failed try; whether the fault was this host's."""
+        """Count a failed try; return whether the fault was this host's."""
         self._counters["delete unheard"] += 1
         is_local = is_local_error(error)
-        # What failed here was no try: the endpoint is told once that is possible.
+        # A fault of this host does not count as a try, because the endpoint has not been contacted.
         self._tries -= is_local
         is_refused = getattr(error, "errno", None) == errno.ECONNREFUSED
         self._refusals = self._refusals + 1 if is_refused else 0
-        # An endpoint that ended the connection and now takes none has died, and all that it ran with it.
+        # A process that closed the connection and now refuses new ones has died, and its work with it.
         if self._ended_by_endpoint and self._refusals >= _DEAD_AFTER_REFUSALS:
             self.is_confirmed = True
         return is_local
--- a/dunepulley/net/upstream/client.py
+++ b/dunepulley/net/upstream/client.py
@@ -1,4 +1,4 @@
-"""The client side towards endpoints: one task for each exchange, over the connections of one session."""
+"""The client for endpoints: one task for each exchange, over the connection pool of one session."""
 
 from __future__ import annotations
 
@@ -28,31 +28,32 @@
 )
 from dunepulley.routing.events import AttemptResult, HealthCheckEnded
 
-# After a fault of this host: told at once, the next attempt would meet it, too.
+# Delay before a fault of this host is reported: without it, the retry would hit the same fault.
 LOCAL_FAULT_DELAY_S = 0.1
-# A process may be held up for 0.15 s.
+# The process may be paused for up to 0.15 s.
 MAX_PROCESS_PAUSE_S = 0.2
-# An endpoint answers an attempt when it has taken it, not when it has run it. Where neither that nor a
-# callback has come after this, the connection has fallen silent: waiting on would cost the request its time.
+# An endpoint responds when it has accepted an attempt, not when it has run it. Without a response or a
+# callback after this time, the connection is assumed dead: waiting longer would use up the request's timeout.
 ATTEMPT_RESPONSE_TIMEOUT_S = 0.5
-# The library's own end of an attempt comes so long after the attempt's timeout.
+# aiohttp's total timeout is the attempt's timeout plus this, so that the router's timer fires first.
 _TIMEOUT_MARGIN_S = 1.0
-# Of the time after which endpoints close an idle connection, the part for which it is used again: the rest is
-# left for a slow way and a busy moment. Idle ones are closed each tenth of that time.
-_REUSE_PART, _SWEEP_PART = 0.8, 0.1
-_LEAST_REUSE_S = _LEAST_SWEEP_S = 0.05
-# Headers that the library would add by itself.
+# Fractions of the time after which endpoints close an idle connection. It is reused only within the first
+# fraction, which leaves a margin for network latency and a busy event loop. Idle connections that are too old
+# are closed at intervals of the second.
+_REUSE_FRACTION, _SWEEP_FRACTION = 0.8, 0.1
+_MIN_REUSE_S = _MIN_SWEEP_S = 0.05
+# Headers that aiohttp would add by default.
 _SKIPPED_HEADERS = ("User-Agent", "Accept", "Accept-Encoding", "Content-Type")
-# Statuses of endpoints that need no line in the log.
+# Statuses of endpoints that are not logged.
 _USUAL_STATUSES = (ACCEPTED, 500, 503, 504)
 _CONNECTION_LOSSES = (AttemptResult.CONNECTION_LOST, AttemptResult.STALE_CONNECTION)
 
 
 @dataclass(slots=True)
 class _Exchange:
-    """How an attempt's exchange has gone so far."""
+    """The state of an attempt's HTTP exchange."""
 
-    # The endpoint has taken it: what becomes of it comes by callback.
+    # The endpoint responded with 202: the attempt's result arrives by callback.
     accepted: bool = False
     result: str = AttemptResult.CONNECTION_LOST
     load_report: dict[str, float] | None = None
@@ -62,10 +63,10 @@
     """Sends attempts to endpoints, cancels them, and checks the endpoints' health.
 
     Args:
-        settings: the router's settings as they are configured.
-        sockets: the descriptors that the process may use.
-        put: takes what is to be told the core.
-        may_begin: asked directly before the first byte of each attempt.
+        settings: the router's settings, by their configured names.
+        sockets: the number of file descriptors that the process may use.
+        put: receives messages for the core.
+        may_begin: called directly before the first byte of each attempt; whether it may start.
     """
 
     def __init__(
@@ -86,24 +87,24 @@
         idle_s = settings.get("policyLimits.connIdleMs", 15000.0) / 1000.0
         self._max_connections = max(8, sockets // 8)
         self.session = self._open_session(sockets, idle_s)
-        # By attempt, or by what is done and to whom.
+        # Keys are attempts, or pairs of an operation and its attempt or endpoint id.
         self.tasks: dict[Any, asyncio.Task[None]] = {}
         self._bodies: dict[UpstreamAttempt, AttemptBody] = {}
-        self._sweep_s = max(_LEAST_SWEEP_S, _SWEEP_PART * idle_s)
+        self._sweep_s = max(_MIN_SWEEP_S, _SWEEP_FRACTION * idle_s)
         self._sweep_timer: asyncio.TimerHandle | None = None
 
     def _open_session(self, sockets: int, idle_s: float) -> aiohttp.ClientSession:
-        # Whether an exchange went over a kept connection: what breaks it says less then.
+        # Records whether an exchange used a kept connection: a failure there says less about the endpoint.
         trace = aiohttp.TraceConfig()
-        trace.on_connection_reuseconn.append(_note_reuse)
-        trace.on_request_headers_sent.append(_set_time_left)
+        trace.on_connection_reuseconn.append(_record_reuse)
+        trace.on_request_headers_sent.append(_set_timeout_header)
         session = aiohttp.ClientSession(
-            # An eighth of the descriptors may be in exchanges at once, a quarter of these with one endpoint,
-            # which may be silent; as many again may stand idle.
+            # At most an eighth of the descriptors is in use for exchanges at once, a quarter of these with
+            # one endpoint, which may be unresponsive. As many again may be idle.
             connector=aiohttp.TCPConnector(
                 limit=self._max_connections,
                 limit_per_host=max(2, sockets // 32),
-                keepalive_timeout=max(_LEAST_REUSE_S, _REUSE_PART * idle_s),
+                keepalive_timeout=max(_MIN_REUSE_S, _REUSE_FRACTION * idle_s),
             ),
             cookie_jar=aiohttp.DummyCookieJar(),
             timeout=aiohttp.ClientTimeout(total=None, connect=self._connect_s),
@@ -111,16 +112,16 @@
             trust_env=False,
             trace_configs=[trace],
         )
-        # A library that sends a second time by itself would make a second copy.
+        # aiohttp must not resend a request by itself: that would run an attempt twice.
         session._retry_connection = False
         return session
 
-    def set_connection_fraction(self, part: float) -> None:
-        """Use this part of the connections allowed: another process of this dispatcher uses the rest."""
-        self.session.connector._limit = max(4, int(self._max_connections * part))
+    def set_connection_fraction(self, fraction: float) -> None:
+        """Limit the connections to a fraction of the maximum, while another process uses the remainder."""
+        self.session.connector._limit = max(4, int(self._max_connections * fraction))
 
     async def close(self) -> None:
-        """Stop all that is under way and close every connection."""
+        """Cancel all tasks and close all connections."""
         if self._sweep_timer is not None:
             self._sweep_timer.cancel()
         tasks = list(self.tasks.values())
@@ -139,7 +140,7 @@
         task.add_done_callback(lambda done: self._task_done(key, done))
 
     def _task_done(self, key: Any, task: asyncio.Task[None]) -> None:
-        """The one place where a task is given back."""
+        """Remove a finished task, and report the attempt as ended if the task failed."""
         if self.tasks.get(key) is task:
             del self.tasks[key]
         if task.cancelled() or task.exception() is None:
@@ -154,18 +155,21 @@
         self._sweep_timer = asyncio.get_running_loop().call_later(self._sweep_s, self._close_idle)
 
     def _close_idle(self) -> None:
-        """Close what stood idle: the library looks so seldom that the endpoint would close it first."""
+        """Close connections that were idle too long.
+
+        aiohttp's own check is so infrequent that endpoints would close them first.
+        """
         self.session.connector._cleanup()
         self._schedule_sweep()
 
     # ---------------------------------------------------------------- attempts
 
     def start_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Send an attempt; its end, or that the endpoint took it, is told by message."""
+        """Start a task that sends an attempt; it puts `AttemptFinished` unless the endpoint accepts it."""
         self._start(attempt, self._run_attempt(attempt))
 
     async def _run_attempt(self, attempt: UpstreamAttempt) -> None:
-        """Send an attempt; once that has ended nothing more of it goes out."""
+        """Send an attempt; when this returns or is cancelled, no more bytes of it are sent."""
         body = self._bodies[attempt] = AttemptBody(attempt, self.counters, self.may_begin)
         exchange = _Exchange()
         try:
@@ -180,18 +184,18 @@
         except aiohttp.SocketTimeoutError:
             self.counters["ho unanswered"] += not exchange.accepted
             if not attempt.callback_received and not exchange.accepted:
-                # The endpoint may have taken it all the same: it is told before the request goes elsewhere.
+                # The endpoint may have accepted it: it is cancelled there before the router retries it.
                 reused = attempt.reused_connection
                 result = AttemptResult.STALE_CONNECTION if reused else AttemptResult.CONNECTION_LOST
-                self._notify_cancel(attempt, result)
+                self._cancel_at_endpoint(attempt, result)
             return
         except (aiohttp.ClientError, OSError) as error:
             exchange.result = await self._result_of_failure(attempt, error)
             may_have_run = exchange.result in _CONNECTION_LOSSES and not exchange.accepted
             if may_have_run and not self._hedging:
-                # Its 202 may have been lost with the connection: where requests may not be hedged, the
-                # endpoint is told before the request goes anywhere else.
-                self._notify_cancel(attempt, exchange.result, ended_by_endpoint(error))
+                # The 202 may have been lost with the connection. Without hedging, only one attempt may run
+                # at a time: this one is cancelled at its endpoint before the router retries elsewhere.
+                self._cancel_at_endpoint(attempt, exchange.result, ended_by_endpoint(error))
                 return
         if not exchange.accepted:
             self.put(AttemptFinished(attempt, exchange.result, exchange.load_report))
@@ -199,8 +203,8 @@
     async def _post(self, attempt: UpstreamAttempt, body: AttemptBody, exchange: _Exchange) -> None:
         """Send the request and read the response."""
         request = attempt.request
-        # Waiting for one of the connections counts as connecting: an attempt that waited longer would go to
-        # an endpoint that may long have been told to drain.
+        # The connect timeout includes the wait for a free connection: after a longer wait the endpoint might
+        # have started to drain meanwhile.
         timeout = aiohttp.ClientTimeout(
             total=attempt.timeout_ms / 1000.0 + _TIMEOUT_MARGIN_S,
             connect=self._connect_s,
@@ -216,25 +220,30 @@
         ) as response:
             attempt.response_started = True
             if response.status == ACCEPTED:
-                # What becomes of it comes by callback, even if the connection breaks in this moment.
+                # The result arrives by callback, even if the connection breaks now.
                 exchange.accepted = True
                 self.counters["ho accepted"] += 1
             await read_response_body(response)
             exchange.load_report = load_reports.parse_report_text(response.headers.get("X-Load-Report"), "=")
             exchange.result = result_of_response(response)
             if response.status not in _USUAL_STATUSES:
-                log.write(LogEvent.ENDPOINT, f"{attempt.endpoint_id} answered {response.status}")
+                log.write(
+                    LogEvent.ENDPOINT,
+                    f"endpoint {attempt.endpoint_id} responded with status {response.status}",
+                )
 
     async def _result_of_failure(self, attempt: UpstreamAttempt, error: Exception) -> str:
-        """What a broken exchange proves; after a fault of this host a moment later."""
+        """Return the result of a failed exchange, after a delay if this host is at fault."""
         is_local = is_local_error(error)
         if is_local:
-            is_lacking = getattr(error, "errno", None) in OUT_OF_DESCRIPTORS | OUT_OF_MEMORY
-            self.counters["no descriptor" if is_lacking else "no way out"] += 1
-            log.write(LogEvent.SOCKETS, f"a connection to a worker failed here: {error}")
+            is_exhausted = getattr(error, "errno", None) in OUT_OF_DESCRIPTORS | OUT_OF_MEMORY
+            self.counters["no descriptor" if is_exhausted else "no way out"] += 1
+            log.write(
+                LogEvent.SOCKETS, f"local fault on a connection to endpoint {attempt.endpoint_id}: {error}"
+            )
         result = result_of_failure(attempt, error, is_local)
         if result is AttemptResult.NOT_SENT and is_local:
-            # Near its timeout it is told at once: a timeout that ends first counts against the endpoint.
+            # No delay close to the timeout: a timeout that fires first would count against the endpoint.
             left_s = attempt.deadline_s - asyncio.get_running_loop().time()
             if left_s > LOCAL_FAULT_DELAY_S + MAX_PROCESS_PAUSE_S:
                 await asyncio.sleep(LOCAL_FAULT_DELAY_S)
@@ -243,10 +252,10 @@
     # ---------------------------------------------------------------- cancellation
 
     def cancel_attempt(self, attempt: UpstreamAttempt, notify: bool) -> None:
-        """Cancel an attempt: close its connection if that is still open, and tell the endpoint."""
+        """Cancel an attempt: close its connection if in use, and with `notify` cancel it at the endpoint."""
         attempt.cancelled = True
         if ("delete", attempt) in self.tasks:
-            return  # the endpoint is being told, and how that ends is
+            return  # a cancellation is in progress and reports the result
         body = self._bodies.get(attempt)
         never_sent = not attempt.write_started or (body is not None and body.abandon())
         sending = self.tasks.get(attempt)
@@ -255,37 +264,41 @@
         if never_sent:
             self.put(AttemptFinished(attempt, AttemptResult.NOT_SENT))
         elif notify:
-            # Also before the 202 is read: it may be on its way, and then closing cancels nothing.
-            self._notify_cancel(attempt, AttemptResult.CANCELLED)
+            # Even if no 202 was read: it may be in transit, and then closing the connection cancels nothing.
+            self._cancel_at_endpoint(attempt, AttemptResult.CANCELLED)
 
-    def _notify_cancel(self, attempt: UpstreamAttempt, result: str, by_endpoint: bool = False) -> None:
-        """Tell the endpoint, in a task of its own: it goes on if the attempt is cancelled meanwhile.
+    def _cancel_at_endpoint(
+        self, attempt: UpstreamAttempt, result: str, closed_by_endpoint: bool = False
+    ) -> None:
+        """Cancel an attempt at its endpoint, in a separate task that outlives the attempt's own task.
 
-        `by_endpoint` says that the endpoint itself ended the connection. Where the settings allow no
-        cancelling, closing the connection before the 202 has to do.
+        `closed_by_endpoint` means that the endpoint closed the connection. Where the settings do not allow
+        cancellation calls, closing the connection before the 202 is all that is done.
         """
         if self._can_cancel:
-            self._start(("delete", attempt), self._cancel(attempt, result, by_endpoint))
+            self._start(("delete", attempt), self._run_cancellation(attempt, result, closed_by_endpoint))
         else:
             self._finish_cancelled(attempt, result, is_confirmed=False)
 
-    async def _cancel(self, attempt: UpstreamAttempt, result: str, by_endpoint: bool) -> None:
-        """Tell the endpoint that an attempt is given up, and then the core how it ended."""
-        cancellation = Cancellation(self.session, self.counters, attempt, by_endpoint, self._hedging)
+    async def _run_cancellation(
+        self, attempt: UpstreamAttempt, result: str, closed_by_endpoint: bool
+    ) -> None:
+        """Cancel an attempt at its endpoint, then report the attempt's result to the core."""
+        cancellation = Cancellation(self.session, self.counters, attempt, closed_by_endpoint, self._hedging)
         try:
             await cancellation.run()
         finally:
             self._finish_cancelled(attempt, result, cancellation.is_confirmed)
 
     def _finish_cancelled(self, attempt: UpstreamAttempt, result: str, is_confirmed: bool) -> None:
-        # Where requests may not be hedged, one of which the endpoint did not hear may be running yet.
+        # Without hedging, the router must know that the attempt may still be running.
         is_certain = is_confirmed or self._hedging
         self.put(AttemptFinished(attempt, result if is_certain else AttemptResult.CANCEL_UNCONFIRMED))
 
     # ---------------------------------------------------------------- health checks
 
     def check_health(self, endpoint_id: str, address: str) -> None:
-        """Ask an endpoint for its load report; one question at a time."""
+        """Start a task that checks an endpoint and puts `HealthCheckEnded`, unless one is running."""
         if ("probe", endpoint_id) not in self.tasks:
             self._start(("probe", endpoint_id), self._check_health(endpoint_id, address))
 
@@ -313,16 +326,17 @@
         self.put(HealthCheckEnded(endpoint_id, result, (loop.time() - started_s) * 1000.0, report))
 
 
-async def _note_reuse(session: aiohttp.ClientSession, context: Any, params: object) -> None:
+async def _record_reuse(session: aiohttp.ClientSession, context: Any, params: object) -> None:
     attempt = context.trace_request_ctx
     if isinstance(attempt, UpstreamAttempt):
         attempt.reused_connection = True
 
 
-async def _set_time_left(session: aiohttp.ClientSession, context: Any, params: Any) -> None:
-    """Say how long the client still waits, once a connection is there and before the head is made.
+async def _set_timeout_header(session: aiohttp.ClientSession, context: Any, params: Any) -> None:
+    """Set the header with the time left, once there is a connection and before the head is serialized.
 
-    Guards against an endpoint that runs on for nobody: a connection may come up a second and a half late.
+    Connecting may take up to 1.5 s. A value computed before that would let the endpoint work on after the
+    client has stopped waiting.
     """
     attempt = context.trace_request_ctx
     if isinstance(attempt, UpstreamAttempt):
--- a/dunepulley/net/upstream/request_body.py
+++ b/dunepulley/net/upstream/request_body.py
@@ -1,4 +1,4 @@
-"""The body of an attempt, which knows what of it has left the process."""
+"""The body of an attempt, which records how much of the request has left the process."""
 
 from __future__ import annotations
 
@@ -11,15 +11,16 @@
 from dunepulley.net.counters import Counters
 from dunepulley.net.messages import UpstreamAttempt
 
-# The time left is sent one turn of the loop before the first byte. Sent longer ago than the longest callback
-# of a busy loop takes, it is worked out anew, so that the process may be held up once more behind it.
+# The header with the time left is computed one turn of the event loop before the first byte is written. If it
+# is older than this, which is longer than any callback of a busy loop takes, the attempt is refused and the
+# router starts another with a new value. This leaves time for one more pause of the process afterwards.
 MAX_TIMEOUT_AGE_S = 0.025
 
 
 class AttemptBody(BytesPayload):
-    """An attempt's body, which notes when writing begins and when the last byte has left the process.
+    """An attempt's body, which records when writing starts and when the last byte has left the process.
 
-    A connection that breaks in between proves that the attempt was never executed.
+    If the connection breaks in between, the attempt was certainly never executed.
     """
 
     def __init__(
@@ -33,11 +34,12 @@
         self.abandoned = False
 
     def abandon(self) -> bool:
-        """Drop what has not left the process; whether that holds the last byte, which then never leaves.
+        """Abort the connection if it still buffers part of the request.
 
-        A transport that is closed goes on writing what it holds: the endpoint would get it a moment later.
+        Returns whether it did: the last byte is then never sent. Closing the transport would not be enough,
+        because a closed transport still writes what it has buffered.
         """
-        # Written or answered, the connection may be another exchange's by now.
+        # After the last byte or a response, another exchange may already use the connection.
         if self.transport is None or self.attempt.fully_written or self.attempt.response_started:
             return False
         if not self.transport.get_write_buffer_size():
@@ -47,27 +49,27 @@
         return True
 
     async def write_with_length(self, writer: Any, content_length: int | None) -> None:
-        """Write the body, unless the attempt may not begin any more: then raises ConnectionAbortedError."""
-        # The library keeps the head back until the body comes, and writes in a task of its own: nothing has
-        # left yet, and from here to the first byte nothing else runs.
+        """Write the body. Raises ConnectionAbortedError if the attempt must not start any more."""
+        # aiohttp holds the head back until the body is written, and writes in a task of its own: no byte has
+        # been sent yet, and no other callback runs between this check and the first byte.
         timeout_age_s = asyncio.get_running_loop().time() - self.attempt.timeout_sent_s
         is_stale = self.attempt.cancelled or timeout_age_s > MAX_TIMEOUT_AGE_S
         if is_stale or not self.may_begin(self.attempt):
             self.attempt.start_refused = True
             self.counters["ho barred"] += 1
-            raise ConnectionAbortedError("it may not begin any more")
+            raise ConnectionAbortedError("the attempt was cancelled, or its connection came too late")
         transport = self.transport = writer.transport
         if transport is not None:
-            # So that drain() waits for the last byte, not for room.
+            # Makes drain() wait until the last byte is written, not only until the buffer has space.
             transport.set_write_buffer_limits(high=0)
         self.attempt.write_started = True
         await writer.write(self.attempt.request.body, drain=False)
         if transport.get_write_buffer_size():
-            # Returns once the last byte has left, also if the other side has ended meanwhile, or it raises.
+            # Returns once the last byte is written, even if the endpoint has closed its side; else it raises.
             await writer.drain()
             self.attempt.fully_written = not self.abandoned
         else:
-            # A transport that closes while it writes has dropped it.
+            # A transport that was closed while it wrote has dropped the buffered bytes.
             self.attempt.fully_written = not transport.is_closing()
         if self.attempt.fully_written:
             self.counters["sends"] += 1
--- a/dunepulley/net/upstream/responses.py
+++ b/dunepulley/net/upstream/responses.py
@@ -1,4 +1,4 @@
-"""What endpoints' responses say, and what a broken connection proves."""
+"""Reads endpoints' responses and maps responses and connection failures to `AttemptResult`."""
 
 from __future__ import annotations
 
@@ -14,38 +14,42 @@
 from dunepulley.net.messages import UpstreamAttempt
 from dunepulley.routing.events import AttemptResult
 
-# What is left of a response behind its head comes with it, or is one without end: no more of it is waited for
-# or read than this, as a body holds at most 64 KB.
+# Limits for the body of a response, which is at most 64 KB and normally arrives together with the head. They
+# guard against a response that never ends.
 BODY_READ_TIMEOUT_S, MAX_BODY_BYTES = 0.5, 65536
 ACCEPTED = 202
-# What no endpoint can read: the fault of what was sent.
+# The request itself is at fault, so that any other endpoint would answer the same.
 _UNPROCESSABLE_STATUSES = (400, 413, 414, 431)
-# An endpoint that rejects an attempt has one of these, and says so in a header.
+# Statuses of an endpoint that rejects an attempt, together with the header X-Rejected.
 _REJECTED_STATUSES = (503, 504)
 
 
 def endpoint_url(address: str, target: str) -> URL:
-    """Where to send; the whole target stands as a path, as a URL would quote it anew."""
+    """Return the URL of a request target at an endpoint.
+
+    The target, with its query, is passed as an encoded path: yarl would otherwise quote it again.
+    """
     host, port = parse_address(address)
     return URL.build(scheme="http", host=host, port=port, path=target, encoded=True)
 
 
 async def read_response_body(response: aiohttp.ClientResponse) -> bytes:
-    """The body of a response, within bounds.
+    """Read and return the body of a response.
 
-    Raises TimeoutError if it does not end in time, and ClientPayloadError if it is longer than any body.
+    Raises TimeoutError if it takes longer than `BODY_READ_TIMEOUT_S`, and ClientPayloadError if it is longer
+    than `MAX_BODY_BYTES`.
     """
-    rest = bytearray()
+    body = bytearray()
     async with asyncio.timeout(BODY_READ_TIMEOUT_S):
-        async for part in response.content.iter_any():
-            rest += part
-            if len(rest) > MAX_BODY_BYTES:
-                raise aiohttp.ClientPayloadError("an answer without end")
-    return bytes(rest)
+        async for chunk in response.content.iter_any():
+            body += chunk
+            if len(body) > MAX_BODY_BYTES:
+                raise aiohttp.ClientPayloadError(f"response body is longer than {MAX_BODY_BYTES} bytes")
+    return bytes(body)
 
 
 def result_of_response(response: aiohttp.ClientResponse) -> AttemptResult:
-    """How an attempt ended by its response, where that is not `ACCEPTED`."""
+    """Return the result of an attempt from a response whose status is not `ACCEPTED`."""
     if response.status in _REJECTED_STATUSES and response.headers.get("X-Rejected") == "1":
         return AttemptResult.REJECTED
     if response.status in _UNPROCESSABLE_STATUSES:
@@ -54,10 +58,10 @@
 
 
 def result_of_failure(attempt: UpstreamAttempt, error: Exception, is_local: bool) -> AttemptResult:
-    """What a broken exchange proves; `is_local` says that the fault is this host's."""
-    # Broken after the last byte was written it may have run, before that it cannot have. A fault of this host
-    # is no sign of an outlier. Nor is a kept connection that breaks: the endpoint, or what is in between, may
-    # close those at any time.
+    """Return the result of an attempt whose exchange failed; `is_local` means that this host is at fault."""
+    # If the failure came after the last byte was written, the attempt may have run; before that it cannot
+    # have. Neither a fault of this host nor a failure on a reused connection indicates an outlier: the
+    # endpoint or a middlebox may close idle connections at any time.
     is_blameless = is_local or attempt.reused_connection
     if attempt.fully_written:
         return AttemptResult.STALE_CONNECTION if is_blameless else AttemptResult.CONNECTION_LOST
@@ -69,13 +73,16 @@
 
 
 def ended_by_endpoint(error: Exception) -> bool:
-    """Whether the endpoint's side ended the connection: not silence, nor a fault of this host."""
+    """Return whether the endpoint closed or reset the connection, as opposed to a timeout or local fault."""
     is_reset = getattr(error, "errno", None) in (errno.ECONNRESET, errno.EPIPE)
     return is_reset or isinstance(error, aiohttp.ServerDisconnectedError)
 
 
 def parse_health_report(text: str) -> dict[str, float] | None:
-    """A load report as a body: an object, or the header's form."""
+    """Parse a load report from a response body: a JSON object, or `name=value` pairs as in the header.
+
+    Returns None if it is malformed.
+    """
     if not text.lstrip().startswith("{"):
         return load_reports.parse_report_text(text, "=")
     try:
--- a/dunepulley/net/zone_statistics.py
+++ b/dunepulley/net/zone_statistics.py
@@ -1,4 +1,4 @@
-"""What a dispatcher observes of the zones, for the agents that make the fleet's traffic plan."""
+"""Statistics of the zones at one dispatcher, for the agents that decide the fleet's traffic plan."""
 
 from __future__ import annotations
 
@@ -13,19 +13,19 @@
 if TYPE_CHECKING:
     from dunepulley.routing.router import Router
 
-# An endpoint that can be reached answers sooner, from whichever zone.
+# A reachable endpoint responds within this time from any zone, so a longer silence counts as no response.
 UNANSWERED_MS = 200.0
-# Attempts are counted for this many zones at most.
+# Attempts are counted for at most this many zones.
 MAX_ZONES = 64
-# The columns of a zone in a report: its ready endpoints, how many of these are ejected, slots and warm slots
-# of the others, and own attempts in flight, by `inspection.zone_loads`; then the counts of this module.
+# The columns of a zone in a report. From `inspection.zone_loads`: its ready endpoints, how many of these are
+# ejected, slots and warm slots of the others, and own attempts in flight; then the two counts of this module.
 ZONE_COLUMNS = 7
 ATTEMPT_COLUMNS = slice(5, 7)
 
 
 @dataclass(slots=True)
 class ZoneAttempts:
-    """Attempts at one zone's endpoints since the start: all that were sent, and those without any answer."""
+    """Attempts at one zone's endpoints since the start: all that were sent, and those without a response."""
 
     sent: int = 0
     unanswered: int = 0
@@ -33,25 +33,25 @@
 
 @dataclass(frozen=True, slots=True)
 class ZoneReport:
-    """What an agent is told.
+    """The report that agents request.
 
-    `how` says why the dispatcher uses the endpoints that it uses, `plan_age` names the plan in hand, and
-    `escapes` counts how often it left the plan. `expected_work_ms` (slot-ms) and `unserved_requests` are
-    sums since the start. `zones` holds `ZONE_COLUMNS` figures for each zone.
+    `mode` is the reason for the current selection of endpoints, `plan_version` identifies the current plan,
+    and `escapes` counts how often the dispatcher left the plan. `expected_work_ms` (slot-ms) and
+    `unserved_requests` are totals since the start. `zones` holds `ZONE_COLUMNS` values for each zone.
     """
 
-    how: str
-    plan_age: tuple[float, int]
+    mode: str
+    plan_version: tuple[float, int]
     escapes: int
     expected_work_ms: float
     unserved_requests: int
     zones: dict[str, list[float]]
 
     def to_wire(self) -> dict[str, Any]:
-        """The map that the admin interface prints."""
+        """Return the JSON object that the admin interface prints."""
         return {
-            "how": self.how,
-            "plan": self.plan_age,
+            "how": self.mode,
+            "plan": self.plan_version,
             "escapes": self.escapes,
             "work": self.expected_work_ms,
             "refused": self.unserved_requests,
@@ -60,13 +60,13 @@
 
 
 class ZoneStatistics:
-    """Counts attempts by zone, and the requests that were offered and not served."""
+    """Counts attempts by zone, and the load of received and unserved requests."""
 
     def __init__(self) -> None:
         self.attempts_by_zone: dict[str, ZoneAttempts] = {}
-        # Requests that were answered by `Reject` or `Fail`.
+        # The number of requests that were answered by `Reject` or `Fail`.
         self.unserved_requests = 0
-        # Of all requests received, in slot-ms.
+        # The expected work of all received requests, in slot-ms.
         self.expected_work_ms = 0.0
 
     def count_attempt(self, zone: str, attempt: UpstreamAttempt, now: float) -> None:
@@ -80,13 +80,15 @@
                 return
             counts = self.attempts_by_zone[zone] = ZoneAttempts()
         counts.sent += 1
-        # One that is cancelled, or whose reused connection is silent, may have reached nobody, too.
-        heard_of = attempt.response_started or attempt.callback_received
-        silent = not heard_of and now - attempt.started_ms >= UNANSWERED_MS
-        counts.unanswered += result in CONNECTION_FAILURES or (silent and result != AttemptResult.COMPLETED)
+        # A cancelled attempt, or one on a silent reused connection, may not have reached the endpoint either.
+        has_response = attempt.response_started or attempt.callback_received
+        is_silent = not has_response and now - attempt.started_ms >= UNANSWERED_MS
+        counts.unanswered += result in CONNECTION_FAILURES or (
+            is_silent and result != AttemptResult.COMPLETED
+        )
 
     def report(self, endpoints: EndpointView, router: Router, now: float) -> ZoneReport:
-        """What is observed of the zones now."""
+        """Return the statistics of the zones at this time."""
         follower = endpoints.follower
         zones = inspection.zone_loads(router, endpoints.ready_entries(now))
         for zone, counts in self.attempts_by_zone.items():
--- a/tests/net/test_accept_faults.py
+++ b/tests/net/test_accept_faults.py
@@ -1,4 +1,4 @@
-"""Calls of accept that fail, for a moment and for seconds: the listener goes on."""
+"""The listener keeps accepting connections after accept(2) fails, once or repeatedly."""
 
 import asyncio
 import errno
@@ -17,7 +17,7 @@
 
 @pytest.mark.parametrize("error", [*LOST_WITH_ACCEPT, *NO_DESCRIPTOR, *NO_MEMORY, "EINTR", "EPERM"])
 @on_loop
-async def test_an_accept_that_fails_for_a_moment_leaves_the_listener_open(error):
+async def test_listener_stays_open_after_three_failures_of_accept(error):
     with FaultySockets() as sockets:
         async with DispatcherRig(taken) as rig:
             fault = sockets.fail("accept", error, rig.service.port, times=3)
@@ -27,25 +27,25 @@
 
 @pytest.mark.parametrize("error", [*LOST_WITH_ACCEPT, *NO_DESCRIPTOR, *NO_MEMORY, "EINTR", "EPERM"])
 @on_loop
-async def test_an_accept_that_goes_on_failing_neither_spins_nor_closes_the_listener(error):
+async def test_persistent_failure_of_accept_neither_busy_loops_nor_closes_the_listener(error):
     with FaultySockets() as sockets:
         async with DispatcherRig(taken) as rig:
             fault = sockets.fail("accept", error, rig.service.port)
-            fault.takes = False  # the worst case: the connection waits, and the socket stays readable
+            fault.takes = False  # the worst case: the connection stays queued, so the socket stays readable
             waiting = asyncio.create_task(healthy(rig))
             await until(lambda: fault.hits >= (10 if error in (*LOST_WITH_ACCEPT, "EINTR") else 1))
             clock = asyncio.get_running_loop().time
-            begun, before = clock(), fault.hits
-            await until(lambda: fault.hits >= before + 5)
-            assert clock() - begun >= 4 * 0.02  # a pause before each
+            started_s, hits_before = clock(), fault.hits
+            await until(lambda: fault.hits >= hits_before + 5)
+            assert clock() - started_s >= 4 * 0.02  # a pause before each retry
             fault.lift()
             assert await waiting == "200"
 
 
 @pytest.mark.parametrize("error", [*LOST_WITH_ACCEPT, *NO_DESCRIPTOR, *NO_MEMORY])
 @on_loop
-async def test_another_client_gives_way_only_where_a_descriptor_lacks(error):
-    # Guards against a client that is closed for an error of a connection that was never taken.
+async def test_evicts_a_connection_only_when_descriptors_run_out(error):
+    # Guards against closing a client's connection because of another connection that was never accepted.
     with FaultySockets() as sockets:
         async with DispatcherRig(taken) as rig:
             server = rig.frontend.server
@@ -59,21 +59,21 @@
 
 
 @on_loop
-async def test_a_listener_goes_on_though_the_loop_cannot_look_at_it_for_a_moment(monkeypatch):
-    # epoll_ctl(2) has ENOMEM, too.
+async def test_listener_retries_when_the_loop_cannot_register_its_socket(monkeypatch):
+    # epoll_ctl(2) may fail with ENOMEM.
     async with DispatcherRig(taken) as rig:
         loop = asyncio.get_running_loop()
         add_reader, failed = loop.add_reader, []
 
-        def add_reader_in_vain(*what):
+        def failing_add_reader(*arguments):
             if len(failed) < 3:
-                failed.append(what)
+                failed.append(arguments)
                 raise OSError(errno.ENOMEM, "no memory")
-            return add_reader(*what)
+            return add_reader(*arguments)
 
-        # What waited at the start is accepted without a look.
+        # Connections queued before the start are accepted without add_reader().
         await until(lambda: not rig.frontend.listener.queued_since_s)
         rig.frontend.listener.stop_accepting()
-        monkeypatch.setattr(loop, "add_reader", add_reader_in_vain)
+        monkeypatch.setattr(loop, "add_reader", failing_add_reader)
         rig.frontend.listener.start_accepting()
         assert await healthy(rig) == "200" and len(failed) == 3
--- a/tests/net/test_attempt_start.py
+++ b/tests/net/test_attempt_start.py
@@ -1,4 +1,4 @@
-"""The start of an attempt: none for a client that has gone, and no deadline beyond what the client has."""
+"""Starting attempts: none for a client that has disconnected, and none with more time than the client has."""
 
 import asyncio
 import errno
@@ -16,13 +16,13 @@
 from dunepulley.net import list_polling
 from dunepulley.net.upstream.request_body import AttemptBody
 
-TURNED_AWAY = response(503, b"", "X-Rejected: 1")
+REJECTED = response(503, b"", "X-Rejected: 1")
 WAYS = {"close": RawClient.close, "reset": RawClient.reset, "half-close": RawClient.half_close}
-# The number of the attempt that is held up, and what the endpoints answer to those before it.
+# The number of the attempt that is delayed, and the endpoints' response to the attempts before it.
 KINDS = {
     "first": (1, ACCEPTED),
     "late connection": (1, ACCEPTED),
-    "retry": (2, TURNED_AWAY),
+    "retry": (2, REJECTED),
     "hedged": (2, ACCEPTED),
 }
 CASES = [(way, True) for way in WAYS] + [("close", False)]
@@ -31,19 +31,19 @@
 @pytest.mark.parametrize(("way", "after_clock"), CASES)
 @pytest.mark.parametrize("kind", KINDS)
 @on_loop
-async def test_no_attempt_begins_for_a_client_that_closed_while_the_process_was_held_up(
+async def test_no_attempt_starts_for_a_client_that_closed_while_the_process_was_paused(
     kind, way, after_clock
 ):
-    # Guards against an attempt 0.15 s after the close: the loop has not read it, but the system knows.
+    # Guards against an attempt 0.15 s after the close: the event loop has not read it, but the kernel has it.
     number, reply = KINDS[kind]
 
-    def say(call):
+    def respond(call):
         if call.method == "DELETE":
             return response(204)
         return reply if len(attempts(rig)) < number else ACCEPTED
 
-    # Due late, so that a busy machine does not have the second copy given up before it goes out.
-    async with DispatcherRig(say, say, categories__0__dueTimeMs=2000.0) as rig:
+    # The latency objective is late, so that on a busy machine the hedge is not cancelled before it is sent.
+    async with DispatcherRig(respond, respond, categories__0__dueTimeMs=2000.0) as rig:
         client = RawClient(rig.service.port)
         hold_up = GateHoldUp(rig, number, lambda: WAYS[way](client), after_clock)
         late = LateConnections(rig) if kind == "late connection" else None
@@ -60,7 +60,7 @@
 
 
 @on_loop
-async def test_a_hold_up_alone_keeps_no_attempt_of_a_client_that_waits():
+async def test_attempt_starts_after_a_pause_of_the_process_if_the_client_still_waits():
     async with DispatcherRig(lambda call: ACCEPTED) as rig:
         client = RawClient(rig.service.port)
         hold_up = GateHoldUp(rig, 1, lambda: None, True)
@@ -72,117 +72,122 @@
         client.close()
 
 
-# ---------------------------------------------------------------- the deadline that an endpoint is told
+# ---------------------------------------------------------------- the timeout that an endpoint is sent
 
-# What the page allows beyond the time that the client has left, in ms.
+# How much the timeout sent to an endpoint may exceed the time that the client has left, in ms.
 SLACK_MS = 150.0
 BUDGET_MS = 4000
 
 
-class ToldDeadlines:
-    """Notes, for each attempt that begins, the deadline it tells beyond what its client has left, in ms.
+class SentTimeouts:
+    """Records by how much each attempt's timeout exceeds the time that its client has left, in ms.
 
-    Time stands nearly still but for the hold-ups of 0.15 s at the places named, each once: "unread" (the
-    request has come and is not read), and for one attempt, by its number, "decision" (behind the clock of a
-    decision), "told" (behind the clock of the header), "gate" (behind the last clock before the first byte).
+    The clock is nearly stopped, except for one pause of 0.15 s at each of the given places: "unread" (the
+    request was received but not read), and for the attempt with the given number, "decision" (after the
+    clock was read for a decision), "header" (after the time left was computed for the header), and "gate"
+    (after the clock was read for the last time before the first byte).
     """
 
-    def __init__(self, rig, monkeypatch, number, held_up):
-        self.rig, self.number, self.held_up = rig, number, set(held_up)
+    def __init__(self, rig, monkeypatch, number, pause_places):
+        self.rig, self.number, self.pause_places = rig, number, set(pause_places)
         self.time = SteppedMonotonicClock(monkeypatch)
-        self.over = []
-        self.begun = 0.0
+        self.started_attempts = []
+        self.request_sent_s = 0.0
         self.client = RawClient(rig.service.port)
         self.handle = rig.core.router.handle
         self.may_begin = rig.core.may_begin
         self.write = AttemptBody.write_with_length
         rig.core.router.handle = self._handle
         rig.service.upstream.may_begin = self._gate
-        monkeypatch.setattr(AttemptBody, "write_with_length", lambda body, *more: self._write(body, *more))
-
-    def _hold_up(self, place):
-        due = place == "unread" or len(self.over) == self.number - 1
-        if due and place in self.held_up:
-            self.held_up.discard(place)
+        monkeypatch.setattr(
+            AttemptBody, "write_with_length", lambda body, *arguments: self._write(body, *arguments)
+        )
+
+    def _pause(self, place):
+        is_due = place == "unread" or len(self.started_attempts) == self.number - 1
+        if is_due and place in self.pause_places:
+            self.pause_places.discard(place)
             self.time.step(HOLD_UP_S)
 
     def send(self, raw):
-        self.begun = self.time()
+        self.request_sent_s = self.time()
         self.client.send(raw)
-        self._hold_up("unread")
+        self._pause("unread")
 
     def _handle(self, now, events):
-        self._hold_up("decision")
+        self._pause("decision")
         return self.handle(now, events)
 
     async def _write(self, body, writer, length):
-        self._hold_up("told")
+        self._pause("header")
         await self.write(body, writer, length)
 
     def _gate(self, attempt):
-        begins = self.may_begin(attempt)
-        if begins:
-            self._hold_up("gate")
-            self.over.append([attempt, (self.time() - self.begun) * 1000.0])
-        return begins
+        may_begin = self.may_begin(attempt)
+        if may_begin:
+            self._pause("gate")
+            self.started_attempts.append([attempt, (self.time() - self.request_sent_s) * 1000.0])
+        return may_begin
 
     def excess(self):
-        """For each attempt up to the one of interest, how much more its endpoint was told than was left."""
-        told = {}
-        for number, worker in enumerate(self.rig.endpoints):
-            posts = [call for call in worker.seen if call.method == "POST"]
-            told[f"w{number}"] = iter([float(call.headers["x-budget-ms"]) for call in posts])
-        first = self.over[: self.number]
-        return [next(told[attempt.endpoint_id]) - (BUDGET_MS - passed) for attempt, passed in first]
+        """Return, for each attempt up to the observed one, its timeout minus the time left, in ms."""
+        timeouts = {}
+        for number, endpoint in enumerate(self.rig.endpoints):
+            posts = [call for call in endpoint.seen if call.method == "POST"]
+            timeouts[f"w{number}"] = iter([float(call.headers["x-budget-ms"]) for call in posts])
+        first = self.started_attempts[: self.number]
+        return [next(timeouts[attempt.endpoint_id]) - (BUDGET_MS - passed_ms) for attempt, passed_ms in first]
 
 
-PLACES = ["none", "decision", "told", "gate", "decision told gate"]
+PLACES = ["none", "decision", "header", "gate", "decision header gate"]
 
 
 @pytest.mark.parametrize("places", ["unread", *PLACES])
 @pytest.mark.parametrize("kind", KINDS)
 @on_loop
-async def test_no_endpoint_is_told_more_time_than_the_client_has_left(kind, places, monkeypatch):
-    # Guards against the sum of several hold-ups: each place but the last is told anew of what has passed.
+async def test_timeout_sent_to_an_endpoint_never_exceeds_the_time_the_client_has_left(
+    kind, places, monkeypatch
+):
+    # Guards against pauses that add up: every step but the last measures the time anew.
     number, reply = KINDS[kind]
 
-    def say(call):
+    def respond(call):
         if call.method == "DELETE":
             return response(204)
         return reply if len(attempts(rig)) < number else ACCEPTED
 
-    endpoints = [say] * number
+    endpoints = [respond] * number
     async with DispatcherRig(*endpoints, categories__0__dueTimeMs=float(BUDGET_MS)) as rig:
         with monkeypatch.context() as patches:
-            told = ToldDeadlines(rig, patches, number, places.split())
+            sent = SentTimeouts(rig, patches, number, places.split())
             late = LateConnections(rig) if kind == "late connection" else None
-            told.send(request("/look/1", budget=BUDGET_MS))
+            sent.send(request("/look/1", budget=BUDGET_MS))
             if late is not None:
                 await until_true(lambda: late.coming)
-                told.time.step(0.3)
+                sent.time.step(0.3)
                 late.up.set()
             if kind == "hedged":
                 await until_true(lambda: rig.core.counters["ho accepted"])
-                # The second copy goes out once a part of the slack has passed with no start.
-                await until_true(lambda: told.time.step(0.002) or len(told.over) == number)
+                # The hedge is sent once part of the slack has passed and the endpoint has not started.
+                await until_true(lambda: sent.time.step(0.002) or len(sent.started_attempts) == number)
             await until_true(lambda: len(attempts(rig)) >= number)
-            excess = told.excess()
-        assert len(excess) == number
-        # The last hold-up is behind the last clock: the slack is for that one.
-        allowed = SLACK_MS if {"gate", "unread"} & set(places.split()) else 0.0
-        assert max(excess) <= allowed
-        told.client.close()
+            excess_ms = sent.excess()
+        assert len(excess_ms) == number
+        # The slack is for a pause after the clock was read for the last time.
+        allowed_ms = SLACK_MS if {"gate", "unread"} & set(places.split()) else 0.0
+        assert max(excess_ms) <= allowed_ms
+        sent.client.close()
 
 
 @on_loop
-async def test_a_first_request_long_after_the_start_has_its_whole_time():
+async def test_listener_counts_no_waiting_time_once_its_queue_is_empty():
     async with DispatcherRig(lambda call: ACCEPTED) as rig:
         await until(lambda: not rig.frontend.listener.queued_since_s)
         assert not rig.frontend.server.accepted
 
 
-class LackingSocket:
-    """A listening socket from which nothing can be accepted for want of a descriptor."""
+class ExhaustedSocket:
+    """A listening socket whose accept() fails because the process has no descriptor left."""
 
     def __init__(self, listening):
         self.listening = listening
@@ -194,43 +199,43 @@
         raise OSError(errno.EMFILE, "no descriptor")
 
 
-@pytest.mark.parametrize("why", ["start", "descriptors"])
+@pytest.mark.parametrize("cause", ["start", "descriptors"])
 @on_loop
-async def test_a_request_that_waits_to_be_accepted_is_counted_from_when_it_may_have_come(why, monkeypatch):
-    # Guards against a whole budget for what has waited.
+async def test_time_waiting_to_be_accepted_is_subtracted_from_the_timeout(cause, monkeypatch):
+    # Guards against a full timeout for a request that has waited in the listener's queue.
     monkeypatch.setattr(list_polling, "STARTUP_TIMEOUT_S", 10.0)
     rig = DispatcherRig(lambda call: ACCEPTED, discovery="pushed")
-    told = members(member("w0", "", "Ready"), revision=9)
+    endpoint_list = members(member("w0", "", "Ready"), revision=9)
     entering = asyncio.create_task(rig.__aenter__())
     await until(lambda: rig.discovery.seen and rig.service.port)
-    told["members"][0]["host_port"] = rig.endpoints[0].address
-    if why == "descriptors":
-        rig.discovery.announce(told)
+    endpoint_list["members"][0]["host_port"] = rig.endpoints[0].address
+    if cause == "descriptors":
+        rig.discovery.announce(endpoint_list)
         await entering
         listener = rig.frontend.listener
-        usual, listener.socket = listener.socket, LackingSocket(listener.socket)
+        original, listener.socket = listener.socket, ExhaustedSocket(listener.socket)
     client = RawClient(rig.service.port)
     client.send(request("/look/1", budget=BUDGET_MS))
-    begun = time.monotonic()
-    await asyncio.sleep(2.0 * SLACK_MS / 1000.0)  # the time that it waits
-    if why == "descriptors":
+    sent_s = time.monotonic()
+    await asyncio.sleep(2.0 * SLACK_MS / 1000.0)  # the request waits
+    if cause == "descriptors":
         assert rig.core.counters["not accepted"]
-        listener.socket = usual
+        listener.socket = original
     else:
-        rig.discovery.announce(told)
+        rig.discovery.announce(endpoint_list)
         await entering
     await until(lambda: attempts(rig))
-    passed = (time.monotonic() - begun) * 1000.0
-    told_ms = float(rig.endpoints[0].seen[0].headers["x-budget-ms"])
-    assert told_ms <= BUDGET_MS - 2.0 * SLACK_MS and told_ms > BUDGET_MS - passed - 1000.0
-    # The next request on the connection, and the next connection, have their whole time.
+    passed_ms = (time.monotonic() - sent_s) * 1000.0
+    timeout_ms = float(rig.endpoints[0].seen[0].headers["x-budget-ms"])
+    assert timeout_ms <= BUDGET_MS - 2.0 * SLACK_MS and timeout_ms > BUDGET_MS - passed_ms - 1000.0
+    # The next request on this connection and the first on another have their full timeout.
     await until(lambda: not rig.frontend.listener.queued_since_s)
     await rig.callback("w0", "done", result="made")
     await all_ended(rig)
-    for wi, again in (("b", client), ("c", RawClient(rig.service.port))):
-        again.send(request("/look/1", wi=wi, budget=BUDGET_MS))
-        await until(lambda wi=wi: attempts(rig, wi))
+    for request_id, next_client in (("b", client), ("c", RawClient(rig.service.port))):
+        next_client.send(request("/look/1", wi=request_id, budget=BUDGET_MS))
+        await until(lambda request_id=request_id: attempts(rig, request_id))
         assert float(rig.endpoints[0].seen[-1].headers["x-budget-ms"]) > BUDGET_MS - 2.0 * SLACK_MS
-        await rig.callback("w0", "done", wi, result="made")
-        again.close()
+        await rig.callback("w0", "done", request_id, result="made")
+        next_client.close()
     await rig.__aexit__()
--- a/tests/net/test_cancel_faults.py
+++ b/tests/net/test_cancel_faults.py
@@ -1,4 +1,4 @@
-"""Calls that cancel an attempt and fail."""
+"""Cancellation calls that fail because no connection to the endpoint can be opened."""
 
 import pytest
 from support.event_loop import on_loop, until
@@ -12,80 +12,86 @@
 from dunepulley.net.upstream import cancellation
 from dunepulley.routing.events import AttemptResult
 
-ONE_COPY = {"policyLimits.secondCopies": False}
+NO_HEDGING = {"policyLimits.secondCopies": False}
 
 
-class Canceled:
-    """An endpoint whose connection fails under an attempt, as do the calls that are to cancel it there."""
+class FailingCancellation:
+    """An endpoint at which an attempt's connection fails, and so do the cancellation calls that follow.
+
+    An attempt gets `reply`, where a string is an error of recv(2). After it, connect(2) fails with `error`
+    for the given number of times.
+    """
 
     def __init__(self, sockets, reply, error, times):
         self.sockets, self.reply, self.error, self.times = sockets, reply, error, times
-        self.peer = FakeServer(self.say)
+        self.endpoint = FakeServer(self.respond)
 
-    def say(self, call):
+    def respond(self, call):
         if call.method == "DELETE":
             return response(204)
-        self.sockets.fail("connect", self.error, self.peer.port, self.times)
+        self.sockets.fail("connect", self.error, self.endpoint.port, self.times)
         if isinstance(self.reply, str):
-            self.sockets.fail("recv", self.reply, self.peer.port, times=1)
+            self.sockets.fail("recv", self.reply, self.endpoint.port, times=1)
             return response(500)
         return self.reply
 
-    def canceled(self):
-        return [call.method for call in self.peer.seen] == ["POST", "DELETE"]
+    def is_cancelled(self):
+        return [call.method for call in self.endpoint.seen] == ["POST", "DELETE"]
 
 
 @pytest.mark.parametrize("reply", [ABORT, CLOSE, SILENT, "ENOBUFS"])
 @pytest.mark.parametrize("error", ["ECONNREFUSED", "ENETUNREACH"])
 @on_loop
-async def test_a_cancel_that_cannot_connect_for_a_moment_is_told_again_before_a_second_attempt(reply, error):
-    # Guards against a second attempt beside one that runs on at an endpoint that lives.
+async def test_cancellation_that_cannot_connect_is_retried_before_the_attempt_ends(reply, error):
+    # Guards against a second attempt while the first one still runs at a live endpoint.
     with FaultySockets() as sockets:
-        case = Canceled(sockets, reply, error, times=2)
-        async with case.peer, UpstreamSender(**ONE_COPY) as sender:
-            sender.send(case.peer.address)
+        case = FailingCancellation(sockets, reply, error, times=2)
+        async with case.endpoint, UpstreamSender(**NO_HEDGING) as sender:
+            sender.send(case.endpoint.address)
             assert (
                 await sender.over() in (AttemptResult.CONNECTION_LOST, AttemptResult.STALE_CONNECTION)
-                and case.canceled()
+                and case.is_cancelled()
             )
 
 
 @pytest.mark.parametrize(
     ("reply", "error", "result"),
     [
-        (ABORT, "ECONNREFUSED", AttemptResult.CONNECTION_LOST),  # reset and refused: the process has died
+        (ABORT, "ECONNREFUSED", AttemptResult.CONNECTION_LOST),  # reset, then refused: the process has died
         (CLOSE, "ECONNREFUSED", AttemptResult.CONNECTION_LOST),
         (
             SILENT,
             "ECONNREFUSED",
             AttemptResult.CANCEL_UNCONFIRMED,
-        ),  # it did not end the connection: it may be running yet
-        ("ENOBUFS", "ECONNREFUSED", AttemptResult.CANCEL_UNCONFIRMED),  # nor did it here or there
+        ),  # the endpoint did not close the connection: the attempt may still be running
+        ("ENOBUFS", "ECONNREFUSED", AttemptResult.CANCEL_UNCONFIRMED),  # the same, after a local fault
         ("ETIMEDOUT", "ECONNREFUSED", AttemptResult.CANCEL_UNCONFIRMED),
         (ABORT, "ENETUNREACH", AttemptResult.CANCEL_UNCONFIRMED),
         (ABORT, "EHOSTUNREACH", AttemptResult.CANCEL_UNCONFIRMED),
     ],
 )
 @on_loop
-async def test_what_a_cancel_that_cannot_connect_for_seconds_proves(monkeypatch, reply, error, result):
+async def test_result_when_the_cancellation_cannot_connect_until_its_timeout(
+    monkeypatch, reply, error, result
+):
     if result is AttemptResult.CANCEL_UNCONFIRMED:
-        monkeypatch.setattr(cancellation, "CONFIRMATION_TIMEOUT_S", 0.35)  # the same, sooner
+        monkeypatch.setattr(cancellation, "CONFIRMATION_TIMEOUT_S", 0.35)  # shortens the test
     with FaultySockets() as sockets:
-        case = Canceled(sockets, reply, error, times=float("inf"))
-        async with case.peer, UpstreamSender(**ONE_COPY) as sender:
-            sender.send(case.peer.address)
-            assert await sender.over() == result and not case.canceled()
+        case = FailingCancellation(sockets, reply, error, times=float("inf"))
+        async with case.endpoint, UpstreamSender(**NO_HEDGING) as sender:
+            sender.send(case.endpoint.address)
+            assert await sender.over() == result and not case.is_cancelled()
 
 
-@pytest.mark.parametrize("copies", [True, False])
+@pytest.mark.parametrize("hedging", [True, False])
 @pytest.mark.parametrize("error", ["EMFILE", "EADDRNOTAVAIL"])
 @on_loop
-async def test_a_cancel_that_this_host_cannot_send_is_sent_once_it_can(copies, error):
-    # Guards against work that goes on for nobody, or beside what takes its place.
+async def test_cancellation_that_fails_on_this_host_is_sent_once_it_can_be(hedging, error):
+    # Guards against an attempt that runs on with no client waiting, or beside the attempt that replaces it.
     with FaultySockets() as sockets:
-        case = Canceled(sockets, SILENT, error, times=3)
-        async with case.peer, UpstreamSender(**{"policyLimits.secondCopies": copies}) as sender:
-            attempt = sender.send(case.peer.address)
-            await until(lambda: attempt.fully_written and case.peer.seen)
+        case = FailingCancellation(sockets, SILENT, error, times=3)
+        async with case.endpoint, UpstreamSender(**{"policyLimits.secondCopies": hedging}) as sender:
+            attempt = sender.send(case.endpoint.address)
+            await until(lambda: attempt.fully_written and case.endpoint.seen)
             sender.upstream.cancel_attempt(attempt, notify=True)
-            assert await sender.over() == AttemptResult.CANCELLED and case.canceled()
+            assert await sender.over() == AttemptResult.CANCELLED and case.is_cancelled()
--- a/tests/net/test_combined_faults.py
+++ b/tests/net/test_combined_faults.py
@@ -1,4 +1,4 @@
-"""System calls of all kinds that fail by chance, for a moment each."""
+"""System calls of all kinds that fail at random, once or twice each."""
 
 import pytest
 from support.event_loop import on_loop, until
@@ -12,17 +12,18 @@
     taken,
 )
 
-# What fails at the clients' port, and at an endpoint's; what ejects an endpoint is rare enough to leave some.
+# Faults at the clients' port, and at an endpoint's. Those that eject an endpoint are rare enough that some
+# endpoints stay ready.
 AT_CLIENTS = [("accept", error) for error in (*LOST_WITH_ACCEPT, *NO_DESCRIPTOR, *NO_MEMORY)]
-AT_ENDPOINTS = [one for one in CALLS_OF_THIS_HOST if one[0] != "socket"] + [("connect", "ECONNREFUSED")]
+AT_ENDPOINTS = [fault for fault in CALLS_OF_THIS_HOST if fault[0] != "socket"] + [("connect", "ECONNREFUSED")]
 AT_ENDPOINTS += [("recv", "ENOBUFS"), ("recv", "ENOMEM"), ("send", "ENOBUFS"), ("send", "EPIPE")]
 AT_ENDPOINTS += [("connect", "EINTR")]
 
 
 @pytest.mark.parametrize("seed", [4])
 @on_loop
-async def test_whatever_fails_each_request_has_one_answer_and_runs_once_at_most(seed):
-    # Faults by chance, for a moment each, while requests that must not run twice come in.
+async def test_each_request_is_answered_once_and_runs_at_most_once_under_random_faults(seed):
+    # Random short faults, while requests arrive that must not run twice.
     with FaultySockets(seed) as sockets:
         async with FaultyDispatcherRig(sockets, taken, taken, taken) as rig:
             chance, statuses = sockets.chance, []
@@ -31,9 +32,9 @@
                 sockets.fail(*chance.choice(AT_CLIENTS), rig.service.port, times=1)
                 endpoint = chance.choice(rig.endpoints)
                 sockets.fail(*chance.choice(AT_ENDPOINTS), endpoint.port, times=chance.randint(1, 2))
-                # It runs for longer than the pause after a fault of this host.
-                how = {"target": "/pay/1", "client": client, "close": False, "runs_s": 0.12}
-                statuses.append(await rig.serve(f"r{number}", **how))
+                # Runs for longer than the delay after a local error.
+                options = {"target": "/pay/1", "client": client, "close": False, "runs_s": 0.12}
+                statuses.append(await rig.serve(f"r{number}", **options))
             assert statuses.count("200") >= 5 and len(set(rig.posts())) == len(rig.posts())
             assert sum([fault.hits for fault in sockets.faults]) >= 6
             assert not rig.core.counters["faults"] and not rig.service.failed.is_set()
--- a/tests/net/test_configuration_reload.py
+++ b/tests/net/test_configuration_reload.py
@@ -1,4 +1,4 @@
-"""New configurations in quick succession: the last one is in force, and no other."""
+"""Reloads in quick succession: only the discovery of the last configuration is watched."""
 
 import asyncio
 import json
@@ -17,16 +17,16 @@
 NAMES = [f"w{number}" for number in range(4)]
 
 
-class Watched(FakeServer):
-    """A discovery whose watches tell four names of an endpoint, stay open, and are seen to be closed."""
+class ListServer(FakeServer):
+    """A discovery that sends a list with one endpoint under four names, and keeps its watches open."""
 
     def __init__(self, endpoint: FakeServer) -> None:
         super().__init__(lambda call: None)
-        told = members(*[member(name, endpoint.address) for name in NAMES])
-        self.told = CHUNKED_HEAD + chunk(json.dumps(told).encode() + b"\n")
+        message = members(*[member(name, endpoint.address) for name in NAMES])
+        self.response = CHUNKED_HEAD + chunk(json.dumps(message).encode() + b"\n")
 
     async def _respond(self, reply, reader, writer):
-        writer.write(self.told)
+        writer.write(self.response)
         await reader.read()
         return False
 
@@ -35,17 +35,17 @@
     return [peer.connections - peer.closed for peer in discoveries]
 
 
-@pytest.mark.parametrize("pause", [None, 0.0, 0.003])
+@pytest.mark.parametrize("pause_s", [None, 0.0, 0.003])
 @on_loop
-async def test_of_configurations_in_quick_succession_the_last_is_watched_and_no_other(tmp_path, pause):
+async def test_after_quick_reloads_only_the_last_discovery_is_watched(tmp_path, pause_s):
     path = tmp_path / "config.json"
 
     async with (
         FakeServer(lambda call: ACCEPTED) as wrong,
         FakeServer(lambda call: ACCEPTED) as right,
-        Watched(wrong) as first,
-        Watched(wrong) as second,
-        Watched(right) as last,
+        ListServer(wrong) as first,
+        ListServer(wrong) as second,
+        ListServer(right) as last,
         DispatcherRig(lambda call: ACCEPTED, familyInfo__tellsStart=False) as rig,
         ClientSocket(rig.service.port) as before,
         ClientSocket(rig.service.port) as after,
@@ -55,47 +55,54 @@
         listen = ("127.0.0.1", rig.service.port)
         rig.service.config = rig.service.config._replace(path=str(path), listen=listen)
 
-        def text(discovery):
-            told = {"name": "n0", "listen": "127.0.0.1:1", "discovery": discovery.address, "settings": {}}
-            return json.dumps(told)
-
-        texts = [text(first), text(second)[:-20], text(second), text(first), text(last), text(first)[:30]]
-        for number, said in enumerate(texts):
-            path.write_text(said)
+        def file_text(discovery):
+            content = {"name": "n0", "listen": "127.0.0.1:1", "discovery": discovery.address, "settings": {}}
+            return json.dumps(content)
+
+        file_texts = [
+            file_text(first),
+            file_text(second)[:-20],
+            file_text(second),
+            file_text(first),
+            file_text(last),
+            file_text(first)[:30],
+        ]
+        for number, content in enumerate(file_texts):
+            path.write_text(content)
             rig.service.reload()
-            # Half a file is no configuration: that before it stays.
+            # An incomplete file is ignored: the previous configuration stays in force.
             assert rig.service.watch.address == [first, first, second, first, last, last][number].address
-            if pause is not None:
-                await asyncio.sleep(pause)
+            if pause_s is not None:
+                await asyncio.sleep(pause_s)
         await until(lambda: set(rig.core.endpoints.addresses.values()) == {right.address})
-        everyone = (first, second, last)
-        await until(lambda: open_watches(*everyone) == [0, 0, 1])
-        assert last.connections == 1 and rig.core.counters["reloads"] == len(texts)
+        servers = (first, second, last)
+        await until(lambda: open_watches(*servers) == [0, 0, 1])
+        assert last.connections == 1 and rig.core.counters["reloads"] == len(file_texts)
         await after.send(request("/look/1", wi="after"))
         await until(lambda: right.seen)
-        for wi, client in (("before", before), ("after", after)):
+        for request_id, client in (("before", before), ("after", after)):
             for name in NAMES:
-                await rig.callback(name, "done", wi, result="made")
+                await rig.callback(name, "done", request_id, result="made")
             assert (await client.ending()).verdict == "200"
         assert not wrong.seen and not rig.core.counters["faults"]
 
 
 @on_loop
-async def test_of_many_sighups_within_milliseconds_the_last_configuration_is_watched(tmp_path):
+async def test_after_many_sighups_within_milliseconds_the_last_discovery_is_watched(tmp_path):
     async with (
         FakeServer(lambda call: ACCEPTED) as wrong,
         FakeServer(lambda call: ACCEPTED) as right,
-        Watched(wrong) as first,
-        Watched(wrong) as second,
-        Watched(right) as last,
+        ListServer(wrong) as first,
+        ListServer(wrong) as second,
+        ListServer(right) as last,
         Process(tmp_path, wrong, first) as node,
     ):
         before = await node.open(request("/look/1", wi="before"))
         await until(lambda: wrong.seen)
-        text = node.path.read_text()
+        file_text = node.path.read_text()
         for discovery in (second, first, second, first, last):
-            for said in (text[:200], text.replace(first.address, discovery.address)):
-                node.path.write_text(said)
+            for content in (file_text[:200], file_text.replace(first.address, discovery.address)):
+                node.path.write_text(content)
                 node.process.send_signal(signal.SIGHUP)
                 await asyncio.sleep(0.003)
         await until(lambda: open_watches(first, second, last) == [0, 0, 1])
@@ -103,8 +110,8 @@
 
         after = await node.open(request("/look/1", wi="after"))
         await until(lambda: right.seen)
-        for wi, (reader, writer) in (("before", before), ("after", after)):
-            await node.event(wi, "done")
+        for request_id, (reader, writer) in (("before", before), ("after", after)):
+            await node.send_callbacks(request_id, "done")
             assert (await read_message(reader)).target == "200"
             writer.close()
         assert node.process.returncode is None
--- a/tests/net/test_connection_faults.py
+++ b/tests/net/test_connection_faults.py
@@ -1,4 +1,4 @@
-"""Calls to endpoints that fail: connect, read and write, and what each failure proves."""
+"""Failures of connect, read and write towards endpoints, and the attempt result that each leads to."""
 
 import asyncio
 import contextlib
@@ -27,7 +27,7 @@
 
 @pytest.mark.parametrize(("call", "error"), CALLS_OF_THIS_HOST)
 @on_loop
-async def test_a_fault_of_this_host_for_a_moment_costs_a_moment_and_ejects_nobody(call, error):
+async def test_a_single_local_fault_is_retried_and_ejects_no_endpoint(call, error):
     with FaultySockets() as sockets:
         async with FaultyDispatcherRig(sockets, taken, taken) as rig:
             client = await rig.connect()
@@ -39,12 +39,12 @@
 
 @pytest.mark.parametrize(("call", "error"), SOME_OF_THIS_HOST)
 @on_loop
-async def test_a_fault_of_this_host_for_seconds_refuses_with_few_attempts_and_ejects_nobody(call, error):
+async def test_a_persistent_local_fault_rejects_after_few_attempts_and_ejects_no_endpoint(call, error):
     with FaultySockets() as sockets:
         async with FaultyDispatcherRig(sockets, taken, taken, policyLimits__mostHandOffs=2.0) as rig:
             client = await rig.connect()
             faults = rig.fail(call, error)
-            # It surely never ran: the client may come again.
+            # It certainly never ran, so that the client may retry.
             assert await rig.serve(target="/pay/1", client=client) == "503"
             assert sum([fault.hits for fault in faults]) == 2
             assert not rig.ejected() and not rig.posts()
@@ -55,16 +55,14 @@
 
 @pytest.mark.parametrize("error", ["EMFILE", "EADDRNOTAVAIL"])
 @on_loop
-async def test_a_limit_that_ends_in_the_pause_after_a_fault_of_this_host_counts_against_nobody(
-    error, monkeypatch
-):
-    # A busy machine must not have the request written off before the decision is made.
+async def test_timeout_during_the_delay_after_a_local_fault_counts_against_no_endpoint(error, monkeypatch):
+    # On a busy machine, the request must not be failed before the router decides.
     monkeypatch.setattr(server, "UNANSWERED_GRACE_MS", 10_000.0)
     with FaultySockets() as sockets:
         async with FaultyDispatcherRig(sockets, taken) as rig:
             faults = rig.fail("connect", error)
             reader, writer = await rig.connect()
-            # Short work, so that the attempt is worth it; its limit is shorter than the pause.
+            # The expected work is short enough for an attempt; its timeout is shorter than the delay.
             writer.write(request("/look/1", b"x", "X-Call-Cost: 1000", budget=80))
             assert (await read_message(reader)).target == "503"
             await until(lambda: not rig.core.requests)
@@ -74,17 +72,17 @@
 
 @pytest.mark.parametrize(("call", "error"), CALLS_OF_THE_ENDPOINT)
 @on_loop
-async def test_a_fault_of_an_endpoint_moves_the_request_and_ejects_that_endpoint_alone(call, error):
+async def test_a_fault_of_an_endpoint_retries_elsewhere_and_ejects_only_that_endpoint(call, error):
     with FaultySockets() as sockets:
         async with FaultyDispatcherRig(sockets, taken, taken) as rig:
             sockets.fail(call, error, rig.endpoints[0].port)
-            for wi in "abcd":
-                assert await rig.serve(wi, target="/pay/1") == "200"
+            for request_id in "abcd":
+                assert await rig.serve(request_id, target="/pay/1") == "200"
             assert rig.ejected() == {"w0"} and not rig.endpoints[0].seen
 
 
 @on_loop
-async def test_an_interrupted_connect_goes_on_by_itself():
+async def test_an_interrupted_connect_completes():
     with FaultySockets() as sockets:
         async with FaultyDispatcherRig(sockets, taken, taken) as rig:
             faults = rig.fail("connect", "EINTR")
@@ -92,27 +90,31 @@
             assert sum([fault.hits for fault in faults]) == 1 and not rig.ejected()
 
 
-@pytest.mark.parametrize("kept", [False, True])
+@pytest.mark.parametrize("reuses_connection", [False, True])
 @pytest.mark.parametrize("error", [*NO_MEMORY, "ENETDOWN", "ENETUNREACH"])
 @on_loop
-async def test_a_read_that_fails_here_after_the_last_byte_is_no_proof_that_nothing_ran(kept, error):
-    # Guards against a second run of what may not run twice.
+async def test_local_read_error_after_the_last_byte_does_not_retry_a_non_idempotent_request(
+    reuses_connection, error
+):
+    # Guards against running twice a request that must not run twice.
     with FaultySockets() as sockets:
         async with FaultyDispatcherRig(sockets, taken) as rig:
-            if kept:
+            if reuses_connection:
                 assert await rig.serve("before", target="/pay/1") == "200"
             rig.fail("recv", error, times=1)
             assert await (await rig.send(target="/pay/1")) not in ("200", "503")
             assert rig.posts().count("a") == 1 and not rig.ejected()
 
 
-@pytest.mark.parametrize("kept", [False, True])
+@pytest.mark.parametrize("reuses_connection", [False, True])
 @pytest.mark.parametrize("error", [*NO_MEMORY, "ENETDOWN", "ENETUNREACH"])
 @on_loop
-async def test_a_write_that_fails_here_before_the_last_byte_proves_that_nothing_ran(kept, error):
+async def test_local_write_error_before_the_last_byte_retries_a_non_idempotent_request(
+    reuses_connection, error
+):
     with FaultySockets() as sockets:
         async with FaultyDispatcherRig(sockets, taken) as rig:
-            if kept:
+            if reuses_connection:
                 assert await rig.serve("before", target="/pay/1") == "200"
             rig.fail("send", error, times=1)
             assert await rig.serve(target="/pay/1") == "200"
@@ -120,14 +122,14 @@
 
 
 class Endpoint:
-    """An endpoint that keeps what it has read, and answers its first bytes where it has an answer."""
+    """An endpoint that records the bytes it reads in `raw`, and sends `response` after the first of them."""
 
     def __init__(self):
-        self.raw = self.answer = b""
-        self.connections = self.ended = 0
+        self.raw = self.response = b""
+        self.connections = self.closed_connections = 0
 
     async def __aenter__(self):
-        self.server = await asyncio.start_server(self.talk, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self.serve_connection, "127.0.0.1", 0)
         self.port = self.server.sockets[0].getsockname()[1]
         self.address = f"127.0.0.1:{self.port}"
         return self
@@ -135,14 +137,14 @@
     async def __aexit__(self, *_):
         self.server.close()
 
-    async def talk(self, reader, writer):
+    async def serve_connection(self, reader, writer):
         self.connections += 1
         with contextlib.suppress(ConnectionError):
-            while part := await reader.read(65536):
+            while data := await reader.read(65536):
                 if not self.raw:
-                    writer.write(self.answer)
-                self.raw += part
-        self.ended += 1
+                    writer.write(self.response)
+                self.raw += data
+        self.closed_connections += 1
         writer.close()
 
 
@@ -151,13 +153,13 @@
 
 
 @on_loop
-async def test_short_reads_and_writes_change_nothing():
+async def test_short_reads_and_writes_are_continued():
     with FaultySockets(seed=3) as sockets:
         async with FaultyDispatcherRig(sockets, taken, taken, taken) as rig:
-            for peer in rig.endpoints:
-                sockets.shorten("send", peer.port, 40)
-                sockets.shorten("recv", peer.port, 7)
-            sockets.shorten("send", rig.service.port, 40)  # the clients' side, too
+            for endpoint in rig.endpoints:
+                sockets.shorten("send", endpoint.port, 40)
+                sockets.shorten("recv", endpoint.port, 7)
+            sockets.shorten("send", rig.service.port, 40)  # responses to clients, too
             for number in range(20):
                 assert await rig.serve(f"r{number}", target="/pay/1") == "200"
             assert sorted(rig.posts()) == sorted([f"r{number}" for number in range(20)])
@@ -173,7 +175,7 @@
     ],
 )
 @on_loop
-async def test_a_probe_that_fails_here_says_nothing_of_its_endpoint(error, result):
+async def test_health_check_that_fails_locally_does_not_count_against_its_endpoint(error, result):
     with FaultySockets() as sockets:
         async with Endpoint() as endpoint, UpstreamSender() as sender:
             sockets.fail("connect", error, endpoint.port)
@@ -181,48 +183,48 @@
             assert await sender.over() == result
 
 
-@pytest.mark.parametrize("copies", [True, False])
+@pytest.mark.parametrize("hedging", [True, False])
 @on_loop
-async def test_a_request_given_up_in_the_middle_of_its_write_never_has_its_last_byte_sent(copies):
-    # Guards against a transport that writes on after it is closed: the request would begin after its end.
+async def test_an_attempt_cancelled_during_its_write_never_has_its_last_byte_sent(hedging):
+    # Guards against a closed transport that still writes its buffer: the attempt would start after its end.
     with FaultySockets() as sockets:
-        async with Endpoint() as endpoint, UpstreamSender(**{"policyLimits.secondCopies": copies}) as sender:
+        async with Endpoint() as endpoint, UpstreamSender(**{"policyLimits.secondCopies": hedging}) as sender:
             sockets.fill(endpoint.port, 5000)
             attempt = sender.send(endpoint.address, body=BODY)
             await until(lambda: len(endpoint.raw) == 5000)
             sender.upstream.cancel_attempt(attempt, notify=True)
             assert await sender.over() == AttemptResult.NOT_SENT
             sockets.empty(endpoint.port)
-            await until(lambda: endpoint.ended)
+            await until(lambda: endpoint.closed_connections)
             assert LAST not in endpoint.raw and endpoint.connections == 1
             assert len(sender.told) == 1
 
 
 @on_loop
-async def test_a_write_that_is_stuck_to_its_limit_proves_that_nothing_ran():
-    # Guards against a last byte that goes out after the request was told as never run.
+async def test_a_write_that_blocks_until_the_timeout_never_sends_its_last_byte():
+    # Guards against a last byte that is sent after the attempt was reported as never run.
     with FaultySockets() as sockets:
         async with Endpoint() as endpoint, UpstreamSender() as sender:
             sockets.fill(endpoint.port, 5000)
             sender.send(endpoint.address, body=BODY, limit=100.0)
             assert await sender.over() == AttemptResult.CONNECT_FAILED
             sockets.empty(endpoint.port)
-            await until(lambda: endpoint.ended)
+            await until(lambda: endpoint.closed_connections)
             assert LAST not in endpoint.raw and endpoint.connections == 1
 
 
 @on_loop
-async def test_an_end_that_is_read_before_the_last_byte_leaves_is_no_proof_that_nothing_ran():
-    # Guards against a second run: the endpoint ends its side, reads on, and has the whole request.
-    async def end_and_read_on(reader, writer):
+async def test_half_close_by_the_endpoint_before_the_last_byte_may_still_have_run():
+    # Guards against a second run: the endpoint half-closes, reads on, and receives the whole request.
+    async def half_close_and_read_on(reader, writer):
         raw.extend(await reader.read(100))
         writer.write_eof()
-        while part := await reader.read(65536):
-            raw.extend(part)
+        while data := await reader.read(65536):
+            raw.extend(data)
         writer.close()
 
     raw = bytearray()
-    server = await asyncio.start_server(end_and_read_on, "127.0.0.1", 0)
+    server = await asyncio.start_server(half_close_and_read_on, "127.0.0.1", 0)
     port = server.sockets[0].getsockname()[1]
     with FaultySockets() as sockets:
         async with UpstreamSender() as sender:
@@ -234,11 +236,11 @@
 
 
 @on_loop
-async def test_a_request_that_is_taken_before_its_last_byte_is_written_whole_all_the_same():
+async def test_a_request_accepted_before_its_last_byte_is_still_written_completely():
     async with Endpoint() as endpoint, UpstreamSender() as sender:
         with FaultySockets() as sockets:
             sockets.fill(endpoint.port, 5000)
-            endpoint.answer = ACCEPTED
+            endpoint.response = ACCEPTED
             sender.send(endpoint.address, body=BODY)
             await until(lambda: sender.counters["ho accepted"])
             sockets.empty(endpoint.port)
--- a/tests/net/test_discovery_faults.py
+++ b/tests/net/test_discovery_faults.py
@@ -1,4 +1,4 @@
-"""Calls to discovery that fail: whose fault puts off the endpoint list."""
+"""Failing calls to discovery: which errors restart the staleness bound of the endpoint list."""
 
 import asyncio
 import contextlib
@@ -25,15 +25,15 @@
 from dunepulley.net.discovery import Discovery
 
 
-class Patient(list_polling.PollBackoff):
-    """Notes how each call ended, and since when what has passed is counted."""
+class RecordingBackoff(list_polling.PollBackoff):
+    """Records, for each call, the time from which the age of the list is counted."""
 
     def __init__(self):
         super().__init__(random.Random(1))
-        self.since = []
+        self.current_since_s = []
 
-    def next_delay_s(self, end, heard, passed=0.0):
-        self.since.append(asyncio.get_running_loop().time() - passed)
+    def next_delay_s(self, end, received, age_s=0.0):
+        self.current_since_s.append(asyncio.get_running_loop().time() - age_s)
         return 0.01
 
 
@@ -42,12 +42,12 @@
 
 
 @contextlib.asynccontextmanager
-async def watching_with(address):
-    """A watch on discovery: what it is told, its counters and its backoff."""
-    told, counters, patience = [], Counters(), Patient()
-    watch = Discovery(address, 3, told.append, counters, patience)
+async def open_watch(address):
+    """Open a watch on discovery; yields the received lists, the counters and the backoff."""
+    received, counters, backoff = [], Counters(), RecordingBackoff()
+    watch = Discovery(address, 3, received.append, counters, backoff)
     task = asyncio.create_task(watch.run())
-    yield told, counters, patience
+    yield received, counters, backoff
     assert not task.done()
     task.cancel()
     await asyncio.gather(task, return_exceptions=True)
@@ -55,45 +55,45 @@
 
 @pytest.mark.parametrize(("call", "error"), SOME_OF_THIS_HOST)
 @on_loop
-async def test_a_fault_of_this_host_puts_off_nothing_that_discovery_tells(call, error):
-    # Guards against an old list that is acted on for 6 s from the last of several calls that never left.
+async def test_a_local_error_does_not_restart_the_staleness_bound(call, error):
+    # Guards against counting the bound of 6 s from the last of several calls that never left this host.
     clock = asyncio.get_running_loop().time
     with FaultySockets() as sockets:
         async with (
             FakeServer(lambda call: response(503) if peer.seen[1:] else one_line()) as peer,
-            watching_with(peer.address) as (_, counters, patience),
+            open_watch(peer.address) as (_, counters, backoff),
         ):
-            await until(lambda: patience.since and clock() > patience.since[0] + 0.1)
+            await until(lambda: backoff.current_since_s and clock() > backoff.current_since_s[0] + 0.1)
             fault = sockets.fail(call, error, 0 if call == "socket" else peer.port, times=2)
             await until(lambda: fault.hits == 2)
-            calls = len(patience.since)
-            await until(lambda: len(patience.since) >= calls + 3)
-            # Counted from the one line, in calls that were refused, too.
-            assert max(patience.since) - min(patience.since) < 0.08
+            calls = len(backoff.current_since_s)
+            await until(lambda: len(backoff.current_since_s) >= calls + 3)
+            # The age is counted from the one received line, also in the refused calls.
+            assert max(backoff.current_since_s) - min(backoff.current_since_s) < 0.08
             assert counters["discovery calls failed here"] == 2
 
 
 @pytest.mark.parametrize("error", ["EMFILE", "EADDRNOTAVAIL"])
 @on_loop
-async def test_a_fault_of_this_host_for_seconds_neither_spins_nor_ends_the_watch(error):
+async def test_lasting_local_errors_neither_spin_nor_end_the_watch(error):
     with FaultySockets() as sockets:
         async with FakeServer(lambda call: one_line()) as peer:
             fault = sockets.fail("connect", error, peer.port)
-            async with watching_with(peer.address) as (told, counters, patience):
+            async with open_watch(peer.address) as (received, counters, backoff):
                 clock = asyncio.get_running_loop().time
-                begun = clock()
+                started_s = clock()
                 await until(lambda: fault.hits == 4)
-                assert clock() - begun >= 3 * 0.09 and not patience.since
+                assert clock() - started_s >= 3 * 0.09 and not backoff.current_since_s
                 fault.lift()
-                await until(lambda: told)
+                await until(lambda: received)
 
 
 @pytest.mark.parametrize("error", OF_THE_ENDPOINT)
 @on_loop
-async def test_a_discovery_that_cannot_be_reached_puts_off_what_it_tells(error):
+async def test_an_unreachable_discovery_restarts_the_staleness_bound(error):
     with FaultySockets() as sockets:
         async with FakeServer(lambda call: one_line()) as peer:
             fault = sockets.fail("connect", error, peer.port, times=4)
-            async with watching_with(peer.address) as (told, _, patience):
-                await until(lambda: told)
-                assert fault.hits == 4 and patience.since[0] < patience.since[3]
+            async with open_watch(peer.address) as (received, _, backoff):
+                await until(lambda: received)
+                assert fault.hits == 4 and backoff.current_since_s[0] < backoff.current_since_s[3]
--- a/tests/net/test_endpoint_view.py
+++ b/tests/net/test_endpoint_view.py
@@ -1,4 +1,4 @@
-"""The endpoints as a dispatcher uses them: what the router is told of a list, of drains and of a plan."""
+"""The endpoints as a dispatcher uses them: the updates that lists, drains and plans cause at the router."""
 
 import orjson
 import pytest
@@ -9,7 +9,7 @@
 from dunepulley.clocks import Clock
 from dunepulley.control import drains
 from dunepulley.net.endpoint_list import parse_endpoint_list
-from dunepulley.net.endpoint_view import EndpointView, list_changes
+from dunepulley.net.endpoint_view import EndpointView, diff_lists
 from dunepulley.routing.events import EndpointEntry, EndpointState, ListUpdateKind
 from dunepulley.routing.router import Router
 
@@ -17,7 +17,7 @@
 
 
 class View:
-    """A view of two endpoints, and the updates that its router was told."""
+    """A view of two endpoints, and the updates that it published."""
 
     def __init__(self):
         self.updates = []
@@ -40,10 +40,10 @@
     )
 
 
-def test_changes_are_what_is_new_differs_or_left():
-    known = {name: EndpointEntry(name) for name in ("same", "moved", "left")}
+def test_a_diff_contains_new_changed_and_removed_entries():
+    current = {name: EndpointEntry(name) for name in ("same", "moved", "left")}
     entries = (EndpointEntry("same"), EndpointEntry("moved", zone="b"), EndpointEntry("new"))
-    update = list_changes(known, entries)
+    update = diff_lists(current, entries)
     assert update.kind == ListUpdateKind.CHANGES
     assert update.entries == (
         EndpointEntry("moved", zone="b"),
@@ -56,7 +56,7 @@
     ("as_changes", "kind"), [(True, ListUpdateKind.CHANGES), (False, ListUpdateKind.FULL)]
 )
 @on_loop
-async def test_a_full_list_is_told_as_changes_where_it_may_be(as_changes, kind):
+async def test_a_full_list_is_published_as_changes_if_allowed(as_changes, kind):
     case = View()
     case.update(member("w1", "127.0.0.1:2"), as_changes=as_changes)
     assert [update.kind for update in case.updates] == [kind]
@@ -64,7 +64,7 @@
 
 
 @on_loop
-async def test_an_address_is_right_only_while_its_endpoint_is_ready_there():
+async def test_an_address_is_valid_only_while_its_endpoint_is_ready_there():
     case = View()
     assert case.view.is_ready_at("w0", "127.0.0.1:1") and not case.view.is_ready_at("w0", "127.0.0.1:9")
     case.update(member("w0", "127.0.0.1:1", "Terminating"), complete=False)
@@ -72,9 +72,9 @@
 
 
 @on_loop
-async def test_a_drain_is_told_once_and_so_is_its_end():
+async def test_a_drain_is_published_once_and_so_is_its_end():
     case = View()
-    assert case.view.take_drains(drained("w0", NOW + 500.0))
+    assert case.view.apply_drains(drained("w0", NOW + 500.0))
     assert case.view.next_refresh_ms(NOW) == 500.0
     for _ in range(3):
         case.view.refresh(NOW, case.router)
@@ -85,26 +85,26 @@
 
 
 @on_loop
-async def test_older_drains_are_not_taken():
+async def test_older_drains_are_not_applied():
     case = View()
     newer = drained("w0")
-    assert case.view.take_drains(newer) and not case.view.take_drains(drains.DrainSet())
+    assert case.view.apply_drains(newer) and not case.view.apply_drains(drains.DrainSet())
     assert case.view.drains is newer
 
 
 @on_loop
-async def test_without_a_follower_no_plan_is_taken():
-    assert not View().view.take_plan(None)
+async def test_without_a_follower_no_plan_is_applied():
+    assert not View().view.apply_plan(None)
 
 
 @on_loop
-async def test_a_description_has_the_form_that_operators_read():
+async def test_a_description_has_the_form_that_the_admin_interface_prints():
     case = View()
-    case.view.take_drains(drained("w0"))
+    case.view.apply_drains(drained("w0"))
     endpoints, required_kinds = case.view.describe(NOW, case.router).to_wire()
     assert list(endpoints[0]) == ["id", "zone", "kind", "listed", "state", "drains"]
-    told = orjson.loads(orjson.dumps(endpoints))
-    assert [(one["id"], one["listed"], one["state"], len(one["drains"])) for one in told] == [
+    parsed = orjson.loads(orjson.dumps(endpoints))
+    assert [(entry["id"], entry["listed"], entry["state"], len(entry["drains"])) for entry in parsed] == [
         ("w0", "ready", "leaving", 1),
         ("w1", "ready", "ready", 0),
     ]
--- a/tests/net/test_final_responses.py
+++ b/tests/net/test_final_responses.py
@@ -1,4 +1,4 @@
-"""A request that was read has its final response, in time, whatever endpoints and other clients do."""
+"""Every request that was read gets its final response in time, whatever endpoints and other clients do."""
 
 import asyncio
 import contextlib
@@ -16,114 +16,117 @@
 
 from dunepulley.net import list_polling
 
-# A class with a short deadline, in ms, and how long after it a final answer may come.
+# A short deadline, and how long after it the final response may arrive, in ms.
 DEADLINE_MS, LATE_MS = 300, 500
 
 
-async def without_end():
+async def endless_response():
     yield CHUNKED_HEAD
     while True:
         yield chunk(bytes(1000))
         await asyncio.sleep(0.01)
 
 
-async def cut_answer():
+async def truncated_response():
     yield b"HTTP/1.1 500 Any\r\nContent-Length: 9\r\n\r\nhalf"
 
 
-TROUBLE = {
+FAULTS = {
     "hangs": lambda call: SILENT,
     "resets": lambda call: ABORT,
     "closes": lambda call: CLOSE,
-    "answers without end": lambda call: without_end(),
-    "answers a half": lambda call: cut_answer(),
-    "answers nonsense": lambda call: b"nonsense\r\n\r\n",
-    "takes it and never calls back": lambda call: ACCEPTED,
-    "turns away": lambda call: response(503, b"", "X-Rejected: 1"),
+    "sends an endless response": lambda call: endless_response(),
+    "sends a truncated response": lambda call: truncated_response(),
+    "sends a malformed response": lambda call: b"nonsense\r\n\r\n",
+    "accepts but sends no callback": lambda call: ACCEPTED,
+    "rejects": lambda call: response(503, b"", "X-Rejected: 1"),
     "fails": lambda call: response(500),
-    "refuses connects": None,
-    "connects late": "late",
+    "refuses connections": None,
+    "accepts connections late": "late",
 }
 
 
-async def answered_in_time(rig, target="/look/1", wi="good"):
-    """Send a request with a short deadline over a new connection; the status of its answer."""
+async def status_in_time(rig, target="/look/1", request_id="good"):
+    """Send a request with a short deadline over a new connection; return the status of its response."""
     loop = asyncio.get_running_loop()
-    begun = loop.time()
+    started_s = loop.time()
     reader, writer = await rig.connect()
-    writer.write(request(target, b"x", wi=wi, budget=DEADLINE_MS))
-    told = await asyncio.wait_for(read_message(reader), 4.0)
-    assert (loop.time() - begun) * 1000.0 <= DEADLINE_MS + LATE_MS
+    writer.write(request(target, b"x", wi=request_id, budget=DEADLINE_MS))
+    message = await asyncio.wait_for(read_message(reader), 4.0)
+    assert (loop.time() - started_s) * 1000.0 <= DEADLINE_MS + LATE_MS
     writer.close()
-    return told.target
+    return message.target
 
 
-@pytest.mark.parametrize(("target", "copies"), [("/look/1", True), ("/pay/1", False)])
-@pytest.mark.parametrize("trouble", TROUBLE)
+@pytest.mark.parametrize(("target", "hedging"), [("/look/1", True), ("/pay/1", False)])
+@pytest.mark.parametrize("fault", FAULTS)
 @on_loop
-async def test_trouble_at_endpoints_leaves_a_short_deadline_its_final_answer(trouble, target, copies):
-    script = TROUBLE[trouble] if callable(TROUBLE[trouble]) else TROUBLE["takes it and never calls back"]
-    rig = DispatcherRig(script, script, policyLimits__secondCopies=copies)
+async def test_request_with_a_short_deadline_is_answered_in_time_despite_faulty_endpoints(
+    fault, target, hedging
+):
+    script = FAULTS[fault] if callable(FAULTS[fault]) else FAULTS["accepts but sends no callback"]
+    rig = DispatcherRig(script, script, policyLimits__secondCopies=hedging)
     for number in range(3):
         rig.settings[f"categories.{number}.dueTimeMs"] = 0.8 * DEADLINE_MS
         rig.settings[f"categories.{number}.expiryMs"] = float(DEADLINE_MS)
     async with rig:
-        if trouble == "connects late":
+        if fault == "accepts connections late":
             LateConnections(rig)
-        if trouble == "refuses connects":
-            for worker in rig.endpoints:
-                worker.server.close()
-        assert await answered_in_time(rig, target) in ("500", "503")
+        if fault == "refuses connections":
+            for endpoint in rig.endpoints:
+                endpoint.server.close()
+        assert await status_in_time(rig, target) in ("500", "503")
         assert not rig.core.counters["faults"]
 
 
-def halves(number):
+def partial_request(number):
     return request("/look/1", b"x" * 100, wi=f"h{number}")[:-40]
 
 
-def pipelines(number):
+def pipelined_requests(number):
     return request("/look/1", wi=f"p{number}") + request("/look/1", wi=f"q{number}") * 300
 
 
-def leaves(number):
+def abandoned_request(number):
     return request("/look/1", wi=f"l{number}")
 
 
-@pytest.mark.parametrize("bad", [None, halves, pipelines, leaves])
+@pytest.mark.parametrize("flood", [None, partial_request, pipelined_requests, abandoned_request])
 @on_loop
-async def test_other_clients_free_no_request_of_its_final_answer(bad):
-    # The endpoints take all and say nothing; the others stay, but for those that leave in the middle.
-    def say(call):
+async def test_request_is_answered_in_time_despite_a_flood_of_other_clients(flood):
+    # The endpoints accept everything and send no callbacks. The other clients stay connected, except those
+    # with abandoned requests.
+    def respond(call):
         return response(204) if call.method == "DELETE" else ACCEPTED
 
-    async with DispatcherRig(say, say, sockets=64) as rig:
-        crowd = []
+    async with DispatcherRig(respond, respond, sockets=64) as rig:
+        flood_writers = []
         for number in range(2 * rig.frontend.server.limit):
             with contextlib.suppress(ConnectionError):
                 _, writer = await rig.connect()
-                crowd.append(writer)
-                if bad is not None:
-                    writer.write(bad(number))
-        if bad is leaves:
+                flood_writers.append(writer)
+                if flood is not None:
+                    writer.write(flood(number))
+        if flood is abandoned_request:
             await until(lambda: rig.core.counters["taken"])
-            for writer in crowd:
+            for writer in flood_writers:
                 writer.transport.abort()
-        assert await answered_in_time(rig) in ("500", "503")
+        assert await status_in_time(rig) in ("500", "503")
         assert not rig.core.counters["faults"]
-        for writer in crowd:
+        for writer in flood_writers:
             writer.transport.abort()
 
 
 def posts(rig):
-    """The ids of the requests that the endpoint has seen, in their order."""
+    """Return the ids of the requests that the endpoint has received, in order."""
     return [call.headers["x-call-id"] for call in rig.endpoints[0].seen if call.method == "POST"]
 
 
 @on_loop
-async def test_who_connects_before_a_start_is_done_is_answered_once_it_is(monkeypatch):
-    # The address takes connections from the bind on; nothing is read before the agent's first word.
+async def test_requests_sent_during_the_start_are_answered_after_it(monkeypatch):
+    # The kernel accepts connections from the bind on; nothing is read before the agent's first list.
     monkeypatch.setattr(list_polling, "STARTUP_TIMEOUT_S", 10.0)
-    # Due late, so that a busy machine has none given up while it waits for its turn.
+    # The latency objective is late, so that on a busy machine no queued request is rejected early.
     rig = DispatcherRig(lambda call: ACCEPTED, discovery="pushed", categories__0__dueTimeMs=4000.0)
     entering = asyncio.create_task(rig.__aenter__())
     await until(lambda: rig.discovery.seen and rig.service.port)
@@ -132,7 +135,7 @@
         writer.write(request("/look/1", wi=f"w{number}"))
     rig.discovery.announce(members(member("w0", rig.endpoints[0].address), revision=9))
     await entering
-    # One slot: each in its turn, whichever that is.
+    # The endpoint has one slot: the requests run one after the other, in any order.
     for number in range(len(waiting)):
         await until(lambda number=number: len(posts(rig)) > number)
         await rig.callback("w0", "done", posts(rig)[number], result="made")
@@ -142,33 +145,33 @@
     await rig.__aexit__()
 
 
-class PushedNode(DispatcherProcess):
-    """A process whose lists are pushed: its start waits for the agent's first word, up to a second."""
+class PushedListProcess(DispatcherProcess):
+    """A process with pushed endpoint lists: its start waits up to a second for the agent's first list."""
 
     def config(self, known=ENDPOINT_COUNT):
         path = super().config(known)
-        told = json.loads(path.read_text())
-        told["settings"]["discovery"] = "automatic"
-        path.write_text(json.dumps(told))
+        document = json.loads(path.read_text())
+        document["settings"]["discovery"] = "automatic"
+        path.write_text(json.dumps(document))
         return path
 
 
 @on_loop
-async def test_sigterm_before_a_start_is_done_answers_who_has_connected(tmp_path):
-    # Guards against the address's queue, reset at the end: what was sent there is lost.
-    async with DispatcherHost(tmp_path) as site:
-        node = PushedNode(site)
-        site.nodes.append(node)
-        await node.start(ENDPOINT_COUNT)
+async def test_sigterm_during_the_start_answers_clients_that_have_connected(tmp_path):
+    # Guards against requests that are lost when the kernel resets the listener's queue at exit.
+    async with DispatcherHost(tmp_path) as host:
+        process = PushedListProcess(host)
+        host.nodes.append(process)
+        await process.start(ENDPOINT_COUNT)
         async with asyncio.timeout(8.0):
             while True:
                 with contextlib.suppress(OSError):
-                    reader, writer = await site.open(request("/look/1", wi="early"))
+                    reader, writer = await host.open(request("/look/1", wi="early"))
                     break
                 await asyncio.sleep(0.005)
-        node.process.send_signal(signal.SIGTERM)
-        told = await asyncio.wait_for(read_message(reader), 4.0)
-        assert (told.target, told.headers["connection"]) == ("503", "close")
-        code, said = await node.ends()
-        assert code == 0 and "listens at" not in said and not site.given()
+        process.process.send_signal(signal.SIGTERM)
+        message = await asyncio.wait_for(read_message(reader), 4.0)
+        assert (message.target, message.headers["connection"]) == ("503", "close")
+        code, log_text = await process.ends()
+        assert code == 0 and "listens at" not in log_text and not host.given()
         writer.close()
--- a/tests/net/test_frontend.py
+++ b/tests/net/test_frontend.py
@@ -1,4 +1,4 @@
-"""Requests through a whole dispatcher: what goes on unchanged, bad input, and clients that go."""
+"""Requests through a whole dispatcher: what is forwarded unchanged, malformed input, and disconnects."""
 
 import asyncio
 import contextlib
@@ -30,21 +30,27 @@
     ],
 )
 @on_loop
-async def test_a_work_item_goes_through_as_the_bytes_that_came(target, headers, body, result):
+async def test_target_and_body_are_forwarded_byte_for_byte(target, headers, body, result):
     async with DispatcherRig(taken) as rig:
         reader, writer = await rig.connect()
-        for wi in ("a", "b"):  # the second over the same connections
-            writer.write(request(target, body, *headers, wi=wi))
-            await until(lambda wi=wi: [c for c in rig.endpoints[0].seen if c.headers["x-call-id"] == wi])
+        for request_id in ("a", "b"):  # the second over the same connections
+            writer.write(request(target, body, *headers, wi=request_id))
+            await until(
+                lambda request_id=request_id: [
+                    call for call in rig.endpoints[0].seen if call.headers["x-call-id"] == request_id
+                ]
+            )
             call = rig.endpoints[0].seen[-1]
             assert (call.method, call.target, call.body) == ("POST", target, body)
             assert call.headers.get("idempotency-key") == ("k" if KEY in headers else None)
-            # The budget is what is left; the way there and back is taken off.
+            # The forwarded timeout is the time left, less the margin for network latency.
             assert 3900 < int(call.headers["x-budget-ms"]) <= 3990
-            assert (await rig.callback("w0", "started", wi)).target == "204"
-            assert (await rig.callback("w0", "done", wi, result=result, load={"qps": 3})).target == "204"
-            told = await read_message(reader)
-            assert (told.target, told.body) == ("200", result.encode())
+            assert (await rig.callback("w0", "started", request_id)).target == "204"
+            assert (
+                await rig.callback("w0", "done", request_id, result=result, load={"qps": 3})
+            ).target == "204"
+            message = await read_message(reader)
+            assert (message.target, message.body) == ("200", result.encode())
         assert rig.endpoints[0].connections == 1
         await until(lambda: not rig.core.requests and not rig.frontend.waiting)
         writer.close()
@@ -87,7 +93,7 @@
     ],
 )  # fmt: skip
 @on_loop
-async def test_bad_input_gets_a_plain_answer(raw, status):
+async def test_malformed_request_gets_an_error_status(raw, status):
     async with DispatcherRig(taken) as rig:
         assert (await rig.exchange(raw)).target == status
         assert not rig.endpoints[0].seen and not rig.core.counters["taken"]
@@ -126,19 +132,19 @@
 )
 @pytest.mark.parametrize("split", [False, True])
 @on_loop
-async def test_a_request_of_two_lengths_ends_its_connection_and_hides_nothing(lines, body, split):
+async def test_request_with_an_ambiguous_length_is_rejected_and_smuggles_no_other(lines, body, split):
     async with DispatcherRig(taken) as rig:
         reader, writer = await rig.connect()
         head = ["POST /look/1 HTTP/1.1", "Host: a", "X-Call-Id: a", "X-Budget-Ms: 900", *lines, "", ""]
         writer.write("\r\n".join(head).encode())
-        if split:  # what follows comes later
+        if split:  # the body is sent after the head was received
             await until(
                 lambda: any([c.buffer.received for c in rig.frontend.server.accepted]) or rig.core.counters
             )
         writer.write(body)
         writer.write(HIDDEN)
-        told = await read_message(reader)
-        assert told.target.startswith("4") and told.headers["connection"] == "close"
+        message = await read_message(reader)
+        assert message.target.startswith("4") and message.headers["connection"] == "close"
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
         await until(lambda: not rig.core.requests and not rig.frontend.waiting)
@@ -150,21 +156,21 @@
 @pytest.mark.parametrize(
     ("length", "end"),
     [
-        # Guards against clients turned away for what the protocol allows: extensions, zeros, trailers.
+        # Guards against rejecting what HTTP allows: chunk extensions, leading zeros, trailers.
         (b"%X\r\n", b"0\r\n\r\n"),
         (b"00%x;part=1\r\n", b"000;last\r\nX-Sum: 1:2\r\nX-Empty:\r\n\r\n"),
     ],
 )
 @on_loop
-async def test_a_body_in_chunks_goes_on_whole(size, length, end):
+async def test_a_chunked_body_is_forwarded_complete(size, length, end):
     body = bytes(range(256)) * 20
-    raw = b"".join([length % len(part) + part + b"\r\n" for part in (body[:3000], body[3000:])])
+    raw = b"".join([length % len(data) + data + b"\r\n" for data in (body[:3000], body[3000:])])
     async with DispatcherRig(taken) as rig:
         reader, writer = await rig.connect()
         head = request("/look/1").replace(b"Content-Length: 1", b"Transfer-Encoding: chunked")[:-1]
         raw = b"\r\n" + head + raw + end
-        for at in range(0, len(raw), size):
-            writer.write(raw[at : at + size])
+        for start in range(0, len(raw), size):
+            writer.write(raw[start : start + size])
             await asyncio.sleep(0)
         await until(lambda: rig.endpoints[0].seen)
         assert rig.endpoints[0].seen[0].body == body and len(rig.endpoints[0].seen) == 1
@@ -180,17 +186,15 @@
         (["Content-Length: 1"], b"x", HIDDEN),
         (["Content-Length: 1"], b"x", b"yz" + HIDDEN),  # shorter than the body
         (["Content-Length: 1"], b"x", b"\0nonsense\r\n\r\n"),
-        (["Content-Length: 1"], b"x", HIDDEN[:9]),  # a part that stays one
+        (["Content-Length: 1"], b"x", HIDDEN[:9]),  # a partial request that is never completed
         (["Content-Length: 1"], b"x", HIDDEN * 5000),
         ([], b"", HIDDEN),
         (["Transfer-Encoding: chunked"], b"1\r\nx\r\n0\r\n\r\n", HIDDEN),
     ],
 )
 @on_loop
-async def test_a_request_has_its_answer_before_what_came_behind_it_ends_the_connection(
-    lines, body, behind, split
-):
-    # Guards against a good request that is lost with the bad one behind it, and one that the bad one hides.
+async def test_request_is_answered_before_bytes_behind_it_close_the_connection(lines, body, behind, split):
+    # Guards against losing a good request because of the bytes behind it, and against executing those bytes.
     async with DispatcherRig(taken) as rig:
         reader, writer = await rig.connect()
         head = ["POST /look/1 HTTP/1.1", "Host: a", "X-Call-Id: a", "X-Budget-Ms: 4000", *lines, "", ""]
@@ -201,10 +205,10 @@
             writer.write(behind)
             await until(lambda: connection.excess_bytes >= min(len(behind), framing.MAX_BODY_BYTES))
         await rig.callback("w0", "done", result="made")
-        told = await read_message(reader)
-        assert (told.target, told.body) == ("200", b"made")
-        told = await read_message(reader)
-        assert (told.target, told.headers["connection"]) == ("400", "close")
+        message = await read_message(reader)
+        assert (message.target, message.body) == ("200", b"made")
+        message = await read_message(reader)
+        assert (message.target, message.headers["connection"]) == ("400", "close")
         with contextlib.suppress(ConnectionError):
             assert await reader.read() == b""
         await until(lambda: not rig.core.requests and not rig.frontend.waiting)
@@ -215,13 +219,13 @@
 
 
 @on_loop
-async def test_a_client_may_wait_for_a_word_before_it_sends_the_body():
+async def test_expect_100_continue_is_answered_before_the_body():
     async with DispatcherRig(taken) as rig:
         reader, writer = await rig.connect()
-        whole = request("/look/1", b"body", "Expect: 100-continue")
-        writer.write(whole[:-4])
+        raw = request("/look/1", b"body", "Expect: 100-continue")
+        writer.write(raw[:-4])
         assert await reader.readuntil(b"\r\n\r\n") == b"HTTP/1.1 100 Continue\r\n\r\n"
-        writer.write(whole[-4:])
+        writer.write(raw[-4:])
         await until(lambda: rig.endpoints[0].seen)
         await rig.callback("w0", "done", result="made")
         assert (await read_message(reader)).body == b"made"
@@ -229,7 +233,7 @@
 
 
 @on_loop
-async def test_an_id_in_hand_is_not_taken_twice():
+async def test_a_request_id_in_progress_is_rejected_as_a_conflict():
     async with DispatcherRig(taken) as rig:
         reader, writer = await rig.connect()
         writer.write(request("/look/1"))
@@ -241,32 +245,36 @@
 
 
 @on_loop
-async def test_nothing_stays_of_items_that_have_ended():
-    def later(worker, call):
-        wi = call.headers.get("x-call-id")
-        if call.method == "POST" and int(wi) % 11 == 5 and len(rig.core.requests[wi].attempts) == 1:
-            return response(500) if int(wi) % 2 else response(503, b"", "X-Rejected: 1")
+async def test_no_state_remains_of_requests_that_have_ended():
+    def respond(endpoint_id, call):
+        request_id = call.headers.get("x-call-id")
+        if (
+            call.method == "POST"
+            and int(request_id) % 11 == 5
+            and len(rig.core.requests[request_id].attempts) == 1
+        ):
+            return response(500) if int(request_id) % 2 else response(503, b"", "X-Rejected: 1")
         if call.method == "POST":
-            tasks.append(asyncio.create_task(finish(worker, wi)))
+            tasks.append(asyncio.create_task(finish(endpoint_id, request_id)))
         return ACCEPTED
 
-    async def finish(worker, wi):
-        await rig.callback(worker, "started", wi)
-        await rig.callback(worker, "done", wi, result=wi, load={"x0": 1})
+    async def finish(endpoint_id, request_id):
+        await rig.callback(endpoint_id, "started", request_id)
+        await rig.callback(endpoint_id, "done", request_id, result=request_id, load={"x0": 1})
 
-    async def ask(number):
+    async def send(number):
         target = ("/look/1", "/store/1", "/pay/1")[number % 7 % 3]
         return await rig.exchange(
             request(target, b"x", KEY, "X-Call-Cost: 5000", wi=str(number), budget=2000)
         )
 
     tasks = []
-    async with DispatcherRig(*[partial(later, f"w{number}") for number in range(6)]) as rig:
-        told = []
-        for begin in range(0, 120, 6):
-            told += await asyncio.gather(*[ask(number) for number in range(begin, begin + 6)])
-        assert {call.target for call in told} <= {"200", "500", "503"} and len(told) == 120
-        assert [call.target for call in told].count("200") > 100
+    async with DispatcherRig(*[partial(respond, f"w{number}") for number in range(6)]) as rig:
+        messages = []
+        for start in range(0, 120, 6):
+            messages += await asyncio.gather(*[send(number) for number in range(start, start + 6)])
+        assert {message.target for message in messages} <= {"200", "500", "503"} and len(messages) == 120
+        assert [message.target for message in messages].count("200") > 100
         await asyncio.gather(*tasks)
         core = rig.core
         await until(
@@ -284,16 +292,16 @@
 
 @pytest.mark.parametrize("accepts", [True, False])
 @on_loop
-async def test_a_client_that_leaves_frees_all_there_is(accepts):
-    def say(call):
+async def test_a_client_that_disconnects_leaves_no_state_and_cancels_its_attempt(accepts):
+    def respond(call):
         return response(204) if call.method == "DELETE" else ACCEPTED if accepts else SILENT
 
-    async with DispatcherRig(say) as rig:
+    async with DispatcherRig(respond) as rig:
         _, writer = await rig.connect()
         writer.write(request("/look/1"))
         await until(lambda: rig.endpoints[0].seen)
         writer.transport.abort()
-        # The worker is told, whether it has answered yet or not.
+        # The attempt is cancelled at its endpoint, whether that has responded or not.
         await until(lambda: [call for call in rig.endpoints[0].seen if call.method == "DELETE"])
         await until(lambda: not rig.core.requests and not rig.service.upstream.tasks)
         assert not rig.frontend.waiting
@@ -305,33 +313,33 @@
 @pytest.mark.parametrize(
     ("target", "events", "status"),
     [
-        ("/pay/1", ["failed"], "500"),  # may have run: no promise
+        ("/pay/1", ["failed"], "500"),  # it may have run
         ("/pay/1", ["started", "lost"], "500"),
-        ("/look/1", [], "503"),  # may run again: deferred when its budget is over
+        ("/look/1", [], "503"),  # it may run again: rejected with Retry-After at its timeout
         ("/pay/1", [], "500"),
     ],
 )
 @on_loop
-async def test_every_item_has_its_answer_within_the_budget(target, events, status):
+async def test_every_request_is_answered_within_its_timeout(target, events, status):
     async with DispatcherRig(
         taken, policyLimits__retryAfter=True, policyLimits__maxRetryAfterMs=250.0
     ) as rig:
         loop = asyncio.get_running_loop()
-        begun = loop.time()
+        started_s = loop.time()
         reader, writer = await rig.connect()
         writer.write(request(target, b"x", "X-Call-Cost: 10000", budget=300))
         await until(lambda: rig.endpoints[0].seen)
         for state in events:
             await rig.callback("w0", state)
-        told = await read_message(reader)
-        assert told.target == status and loop.time() - begun < 0.35
-        assert told.headers.get("retry-after") == ("0.250" if status == "503" else None)
+        message = await read_message(reader)
+        assert message.target == status and loop.time() - started_s < 0.35
+        assert message.headers.get("retry-after") == ("0.250" if status == "503" else None)
         await until(lambda: not rig.core.requests)
         writer.close()
 
 
 @on_loop
-async def test_an_item_the_module_forgets_is_written_off():
+async def test_a_request_the_router_never_answers_is_failed():
     async with DispatcherRig(taken) as rig:
         rig.core.router.handle = lambda now, events: [None for _ in events][:0]
         assert (await rig.exchange(request("/look/1", budget=50))).target == "500"
@@ -340,7 +348,7 @@
 
 
 @pytest.mark.parametrize(
-    ("told", "status"),
+    ("endpoint_list", "status"),
     [
         (members(), "503"),
         (members(member("w0", "127.0.0.1:1", "Terminating")), "503"),
@@ -348,10 +356,10 @@
     ],
 )
 @on_loop
-async def test_health_is_good_only_when_it_can_serve(told, status):
+async def test_health_check_succeeds_only_with_a_usable_endpoint(endpoint_list, status):
     async with DispatcherRig() as rig:
         assert (await rig.exchange(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")).target == "503"
-        rig.discovery.announce(told)
+        rig.discovery.announce(endpoint_list)
         await until(lambda: rig.core.counters["lists"])
         await until(lambda: rig.core.queue.empty())
         assert (await rig.exchange(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")).target == status
--- a/tests/net/test_frontend_limits.py
+++ b/tests/net/test_frontend_limits.py
@@ -1,4 +1,4 @@
-"""Clients that hold connections, bytes or time: which are closed, and what keeps being served."""
+"""Clients that use up connections, memory or time: which ones are closed, and who is still served."""
 
 import asyncio
 import contextlib
@@ -14,7 +14,7 @@
 from dunepulley.net.frontend import connection as client_connection
 from dunepulley.net.frontend import connection_table, framing
 
-# A request behind another one, which must not be taken.
+# A request sent behind another one, which must not be executed.
 HIDDEN = request("/look/2", b"", wi="hidden")
 
 
@@ -23,14 +23,14 @@
 
 
 @on_loop
-async def test_a_client_that_floods_behind_a_request_and_goes_is_seen_to_go(monkeypatch):
-    # Guards against a request held for nobody: behind so much the close is not read.
+async def test_close_is_noticed_behind_a_flood_of_bytes_after_a_request(monkeypatch):
+    # Guards against keeping a request after its client has gone: the close is not read once reading stops.
     monkeypatch.setattr(client_connection, "MAX_PAUSE_S", 0.02)
 
-    def say(call):
+    def respond(call):
         return response(204) if call.method == "DELETE" else ACCEPTED
 
-    async with DispatcherRig(say) as rig:
+    async with DispatcherRig(respond) as rig:
         _, writer = await rig.connect()
         writer.write(request("/look/1") + HIDDEN * 2000)
         await until(lambda: rig.endpoints[0].seen)
@@ -53,28 +53,32 @@
     ],
 )
 @on_loop
-async def test_who_sends_no_whole_request_is_not_waited_for(raw, status, monkeypatch):
+async def test_client_that_sends_no_complete_request_is_timed_out(raw, status, monkeypatch):
     assert (
         client_connection.REQUEST_TIMEOUT_S + client_connection.LINGER_S < 2.5
-    )  # of the 3 s that are allowed
+    )  # a response is due within 3 s
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.25)
     monkeypatch.setattr(client_connection, "MAX_PAUSE_S", 0.05)
-    # The request in hand is not given up as late, however busy the machine is.
+    # The latency objectives are late, so that on a busy machine no request in progress is rejected early.
     async with DispatcherRig(
         taken, **{f"categories__{number}__dueTimeMs": 60000.0 for number in range(3)}
     ) as rig:
         kept, kept_writer = await rig.connect()
-        for wi in ("a", "b"):
-            kept_writer.write(request("/look/1", wi=wi))
-            await until(lambda wi=wi: [c for c in rig.endpoints[0].seen if c.headers["x-call-id"] == wi])
+        for request_id in ("a", "b"):
+            kept_writer.write(request("/look/1", wi=request_id))
+            await until(
+                lambda request_id=request_id: [
+                    call for call in rig.endpoints[0].seen if call.headers["x-call-id"] == request_id
+                ]
+            )
             reader, writer = await rig.connect()
             writer.write(raw)
             assert (await reader.read()).decode("latin-1").partition(" ")[2][:3] == status
             writer.close()
-            # Also a work item that takes longer, and a connection kept for the next, stay.
-            await rig.callback("w0", "done", wi, result="made")
+            # A request that runs for longer, and an idle keep-alive connection, are not timed out.
+            await rig.callback("w0", "done", request_id, result="made")
             assert (await read_message(kept)).target == "200"
-        # A half is not waited for on a kept connection either.
+        # A partial request is timed out on a keep-alive connection, too.
         kept_writer.write(request("/look/1", wi="c")[:-1])
         assert (await read_message(kept)).target == "408"
         assert len(rig.endpoints[0].seen) == 2
@@ -82,14 +86,14 @@
 
 
 @on_loop
-async def test_who_keeps_writing_is_waited_for_but_not_for_ever(monkeypatch):
+async def test_slow_client_may_finish_its_request_within_an_upper_limit(monkeypatch):
     monkeypatch.setattr(client_connection, "REQUEST_TIMEOUT_S", 0.05)
     monkeypatch.setattr(client_connection, "MAX_PAUSE_S", 0.2)
     async with DispatcherRig(taken) as rig:
         reader, writer = await rig.connect()
-        for part in request("/look/1", b"12345678").partition(b"78"):
-            writer.write(part)
-            await asyncio.sleep(0.08)  # each pause is short, all together are not
+        for piece in request("/look/1", b"12345678").partition(b"78"):
+            writer.write(piece)
+            await asyncio.sleep(0.08)  # each pause is shorter than the limit, all together are longer
         await until(lambda: rig.endpoints[0].seen)
         await rig.callback("w0", "done", result="made")
         assert (await read_message(reader)).target == "200"
@@ -104,52 +108,56 @@
 
 
 @on_loop
-async def test_room_is_made_by_those_least_likely_to_send(monkeypatch):
+async def test_evicts_the_connections_least_likely_to_send_first(monkeypatch):
     monkeypatch.setattr(connection_table, "MIN_PARTIAL_PAUSE_S", 0.0)
     async with DispatcherRig(taken, sockets=32) as rig:
         rig.frontend.server.limit = 4
         idle = await rig.connect()
         idle[1].write(request("/odd/1").replace(b"POST /odd", b"GET /_health?"))
         await read_message(idle[0])
-        halves = [await rig.connect() for _ in range(2)]
-        for number, (_, writer) in enumerate(halves):
+        partial = [await rig.connect() for _ in range(2)]
+        for number, (_, writer) in enumerate(partial):
             writer.write(request("/look/1", wi=f"h{number}")[:-1])
             await until(lambda number=number: len(rig.frontend.server.partial) == number + 1)
-        # Strangers go first, not those that have sent half of a work item: a flood of silence takes nothing
-        # from them.
+        # Connections that have sent nothing are evicted first: a flood of them does not affect those with a
+        # partial request.
         flood = [await rig.connect() for _ in range(12)]
         assert not rig.core.counters["connections without room"]
-        halves[0][1].write(b"x")
+        partial[0][1].write(b"x")
         await until(lambda: rig.core.counters["taken"] == 1)
         assert len(rig.frontend.server.partial) == 1
-        rig.frontend.server.set_connection_fraction(0.1)  # as when another process takes its part
+        rig.frontend.server.set_connection_fraction(0.1)  # as during a hot restart
         await until(lambda: len(rig.frontend.server.accepted) == 1)
         with contextlib.suppress(ConnectionError):
-            assert await halves[1][0].read() == b""
-        for _, writer in (idle, *halves, *flood):
+            assert await partial[1][0].read() == b""
+        for _, writer in (idle, *partial, *flood):
             writer.close()
 
 
-def whose(connection):
+def peer_address(connection):
     return connection.transport.get_extra_info("peername")
 
 
 @on_loop
-async def test_halves_hold_no_more_bytes_than_they_may():
+async def test_memory_for_partial_requests_is_limited():
     async with DispatcherRig(taken) as rig:
         rig.frontend.server.max_partial_bytes = 200_000
-        half = request("/look/1", b"x" * 60_000, wi="h")[:-1]
-        halves, writers = rig.frontend.server.partial, []
+        raw = request("/look/1", b"x" * 60_000, wi="h")[:-1]
+        partial, writers = rig.frontend.server.partial, []
         for _ in range(12):
             _, writer = await rig.connect()
-            writer.write(half)
+            writer.write(raw)
             writers.append(writer)
-            mine = writer.get_extra_info("sockname")
-            await until(lambda mine=mine: mine in [whose(c) for c in halves if c.counted_bytes == len(half)])
-        assert rig.frontend.server.partial_bytes == 3 * len(half)
-        writers[-1].write(b"x")  # the newest of them is still waited for
+            address = writer.get_extra_info("sockname")
+            await until(
+                lambda address=address: (
+                    address in [peer_address(c) for c in partial if c.counted_bytes == len(raw)]
+                )
+            )
+        assert rig.frontend.server.partial_bytes == 3 * len(raw)
+        writers[-1].write(b"x")  # the newest one is still open
         await until(lambda: rig.endpoints[0].seen)
-        assert rig.frontend.server.partial_bytes == 2 * len(half)
+        assert rig.frontend.server.partial_bytes == 2 * len(raw)
         for writer in writers:
             writer.close()
         await until(lambda: not rig.frontend.server.accepted)
@@ -157,19 +165,19 @@
 
 
 @on_loop
-async def test_a_flood_leaves_room_for_usual_clients_and_callbacks():
-    async with DispatcherRig(taken, sockets=32) as rig:  # eighteen connections come in at most
+async def test_clients_and_callbacks_are_served_during_a_flood_of_connections():
+    async with DispatcherRig(taken, sockets=32) as rig:  # at most 18 incoming connections
         kept, kept_writer = await rig.connect()
         kept_writer.write(request("/look/1"))
         await until(lambda: rig.endpoints[0].seen)
         flood = []
-        for number in range(60):  # some say nothing, some ask for our health and stay
+        for number in range(60):  # half of them send nothing, the others check the health and stay connected
             flood.append(await rig.connect())
             if number % 2:
                 flood[-1][1].write(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")
                 assert (await read_message(flood[-1][0])).target == "200"
-        told = await asyncio.gather(*[rig.exchange(request("/odd/1", wi=f"o{n}")) for n in range(60)])
-        assert {call.target for call in told} == {"404"}
+        messages = await asyncio.gather(*[rig.exchange(request("/odd/1", wi=f"o{n}")) for n in range(60)])
+        assert {message.target for message in messages} == {"404"}
         assert len(rig.frontend.server.accepted) <= rig.frontend.server.limit == 18
         assert (await rig.callback("w0", "done", result="made")).target == "204"
         assert (await read_message(kept)).target == "200"
@@ -180,13 +188,13 @@
 
 
 @on_loop
-async def test_idle_connections_make_room_and_too_many_items_are_turned_away():
-    async with DispatcherRig(taken, sockets=12) as rig:  # four items at most
+async def test_idle_connections_are_evicted_and_excess_requests_rejected():
+    async with DispatcherRig(taken, sockets=12) as rig:  # at most 4 requests in progress
         rig.frontend.server.limit = 6
         idle = [await rig.connect() for _ in range(6)]
         await until(lambda: len(rig.frontend.server.new) == 6)
         for connection in rig.frontend.server.new:
-            rig.frontend.server.new[connection] -= 5.0  # silent for long
+            rig.frontend.server.new[connection] -= 5.0  # idle for longer than the minimum
         busy = []
         for number in range(4):
             reader, writer = await rig.connect()
@@ -194,52 +202,52 @@
             busy.append((reader, writer))
             await until(lambda number=number: len(rig.frontend.waiting) == number + 1)
         assert len(rig.frontend.server.accepted) <= 6
-        assert await idle[0][0].read() == b""  # the longest idle was closed
-        told = await rig.exchange(request("/look/1", wi="more"))
-        assert told.target == "503" and told.headers["connection"] == "close"
-        # Callbacks still get through, and every item that was taken its answer.
+        assert await idle[0][0].read() == b""  # the one that was idle the longest is closed
+        message = await rig.exchange(request("/look/1", wi="more"))
+        assert message.target == "503" and message.headers["connection"] == "close"
+        # Callbacks still get through, and every accepted request is answered.
         for number, (reader, _) in enumerate(busy):
-            worker = await the_worker_of(rig, f"i{number}")
-            assert (await rig.callback(worker, "done", f"i{number}", result="made")).target == "204"
+            endpoint_id = await endpoint_of(rig, f"i{number}")
+            assert (await rig.callback(endpoint_id, "done", f"i{number}", result="made")).target == "204"
             assert (await read_message(reader)).target == "200"
         for _, writer in (*idle, *busy):
             writer.close()
 
 
-async def the_worker_of(rig, wi):
-    await until(lambda: wi in rig.core.requests and rig.core.requests[wi].attempts)
-    return rig.core.requests[wi].attempts[0].endpoint_id
+async def endpoint_of(rig, request_id):
+    await until(lambda: request_id in rig.core.requests and rig.core.requests[request_id].attempts)
+    return rig.core.requests[request_id].attempts[0].endpoint_id
 
 
 @on_loop
-async def test_with_no_descriptor_left_nothing_crashes_and_no_item_is_lost():
+async def test_without_free_descriptors_requests_are_rejected_and_served_again_later():
     async with DispatcherRig(taken, taken, taken) as rig:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
         reader, writer = await rig.connect()
         await until(lambda: rig.frontend.server.accepted)
         waiting = socket.create_connection(("127.0.0.1", rig.service.port))  # connected, not yet accepted
-        held = []
+        descriptors = []
         try:
             resource.setrlimit(resource.RLIMIT_NOFILE, (64, hard))
-            while len(held) < 64:
+            while len(descriptors) < 64:
                 try:
-                    held.append(os.open(os.devnull, os.O_RDONLY))
+                    descriptors.append(os.open(os.devnull, os.O_RDONLY))
                 except OSError:
                     break
             writer.write(request("/look/1"))
-            told = await read_message(reader)
-            # No worker could be reached, which proves that the item never ran: the client may come again.
-            assert told.target == "503" and not any([worker.seen for worker in rig.endpoints])
+            message = await read_message(reader)
+            # No endpoint could be contacted, so that the request certainly never ran: the client may retry.
+            assert message.target == "503" and not any([endpoint.seen for endpoint in rig.endpoints])
             assert rig.core.counters["no descriptor"] and not rig.core.counters["faults"]
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            for descriptor in held:
+            for descriptor in descriptors:
                 os.close(descriptor)
-        # As soon as there are some again all goes on, also for the connection that had to wait.
+        # Once there are free descriptors, requests are served again, also over the connection that waited.
         waiting.sendall(request("/look/1", wi="b"))
         writer.write(request("/look/1", wi="c"))
-        for wi in ("b", "c"):
-            await rig.callback(await the_worker_of(rig, wi), "done", wi, result="made")
+        for request_id in ("b", "c"):
+            await rig.callback(await endpoint_of(rig, request_id), "done", request_id, result="made")
         assert (await read_message(reader)).target == "200"
         assert (await asyncio.to_thread(waiting.recv, 100)).startswith(b"HTTP/1.1 200")
         waiting.close()
--- a/tests/net/test_hot_restart.py
+++ b/tests/net/test_hot_restart.py
@@ -1,4 +1,4 @@
-"""An upgrade with two real processes, and the handover's hard cases beside it."""
+"""Hot restarts with real processes, and the protocol's error cases."""
 
 import asyncio
 import json
@@ -30,7 +30,7 @@
 )
 
 
-def taken(call):
+def accept(call):
     return ACCEPTED
 
 
@@ -41,56 +41,63 @@
 
 
 @on_loop
-async def test_an_upgrade_loses_nothing_and_turns_nobody_back(tmp_path):
+async def test_a_hot_restart_answers_every_request_and_rejects_no_connection(tmp_path):
     async with DispatcherHost(tmp_path) as site:
-        old = await site.serving()
-        held, held_writer = await site.open(request("/look/1", wi="held"))
-        again, again_writer = await site.open(HEALTH_REQUEST)
-        assert (await read_message(again)).target == "200"
+        parent = await site.serving()
+        in_flight, in_flight_writer = await site.open(request("/look/1", wi="held"))
+        kept_alive, kept_alive_writer = await site.open(HEALTH_REQUEST)
+        assert (await read_message(kept_alive)).target == "200"
         await site.seen("held")
-        # Connections wait to be accepted while nobody takes them, and all through the handover.
-        old.process.send_signal(signal.SIGSTOP)
+        # Connections wait in the accept queue while no process accepts, and throughout the hot restart.
+        parent.process.send_signal(signal.SIGSTOP)
         queued = [await site.open(request("/look/1", wi=f"q{number}")) for number in range(20)]
-        old.process.send_signal(signal.SIGCONT)
-        new = await site.serving()
-        assert (await old.call("HEALTH")).startswith("400 handed over")
-        assert (await old.call("JOIN")).startswith("400")
+        parent.process.send_signal(signal.SIGCONT)
+        child = await site.serving()
+        assert (await parent.call("HEALTH")).startswith("400 handed over")
+        assert (await parent.call("JOIN")).startswith("400")
         assert (await site.say(HEALTH_REQUEST)).target == "200"
         late, late_writer = await site.open(request("/look/1", wi="late"))
-        # An old connection goes on for one more, and is told to end.
-        again_writer.write(HEALTH_REQUEST)
-        told = await read_message(again)
-        assert (told.target, told.headers.get("connection")) == ("200", "close")
-        # All callbacks come to the new process; those for what the old one holds are passed on.
-        waiting = {"held": held, "late": late} | {f"q{n}": reader for n, (reader, _) in enumerate(queued)}
-        open_now = set(waiting)
-        while open_now:
-            for wi in sorted(open_now & set(site.given())):
-                assert await site.event(wi) == {"204"}
-                told = await read_message(waiting[wi])
-                assert (told.target, told.body) == ("200", wi.encode())
-                open_now.discard(wi)
+        # The parent answers one more request on an existing connection, and then closes it.
+        kept_alive_writer.write(HEALTH_REQUEST)
+        message = await read_message(kept_alive)
+        assert (message.target, message.headers.get("connection")) == ("200", "close")
+        # All callbacks reach the child; those for requests of the parent are forwarded.
+        readers = {"held": in_flight, "late": late} | {
+            f"q{n}": reader for n, (reader, _) in enumerate(queued)
+        }
+        unanswered = set(readers)
+        while unanswered:
+            for request_id in sorted(unanswered & set(site.given())):
+                assert await site.event(request_id) == {"204"}
+                message = await read_message(readers[request_id])
+                assert (message.target, message.body) == ("200", request_id.encode())
+                unanswered.discard(request_id)
             await asyncio.sleep(0.005)
         assert len(site.given()) == len(set(site.given())) == 22
-        # Nothing of its own is left: the old one ends by itself, and the new one goes on alone.
-        code, said = await old.ends()
-        assert code == 0 and "fault" not in said and "the successor serves" in said
-        assert await new.figure("current") == "0|g" and await new.figure("cluster_size") == "4|g"
+        # Without open requests the parent ends by itself, and the child continues alone.
+        code, output = await parent.ends()
+        assert code == 0 and "fault" not in output and "the child process serves" in output
+        assert await child.figure("current") == "0|g" and await child.figure("cluster_size") == "4|g"
         assert os.path.exists(site.path)
-        for _, writer in (*queued, (held, held_writer), (again, again_writer), (late, late_writer)):
+        for _, writer in (
+            *queued,
+            (in_flight, in_flight_writer),
+            (kept_alive, kept_alive_writer),
+            (late, late_writer),
+        ):
             writer.close()
 
 
 @on_loop
-async def test_a_second_upgrade_while_the_first_one_ends_and_the_way_back(tmp_path):
+async def test_two_hot_restarts_overlap(tmp_path):
     async with DispatcherHost(tmp_path) as site:
-        nodes, waiting = [], []
-        for number in range(3):  # each holds one item; the last is the way back to the first version
+        nodes, readers = [], []
+        for number in range(3):  # each has one request in flight
             nodes.append(await site.serving())
-            waiting.append(await site.open(request("/look/1", wi=f"i{number}")))
+            readers.append(await site.open(request("/look/1", wi=f"i{number}")))
             await site.seen(*[f"i{at}" for at in range(number + 1)])
-        # Over two hops where it must, and the answer is the holder's.
-        for number, (reader, writer) in enumerate(waiting):
+        # Callbacks are forwarded over up to two links to the process with the request, which answers.
+        for number, (reader, writer) in enumerate(readers):
             assert await site.event(f"i{number}") == {"204"}
             assert (await read_message(reader)).body == f"i{number}".encode()
             writer.close()
@@ -100,163 +107,166 @@
 
 
 @on_loop
-async def test_a_successor_that_never_gets_ready_changes_nothing(tmp_path):
+async def test_a_child_that_never_becomes_ready_changes_nothing(tmp_path):
     async with DispatcherHost(tmp_path) as site:
-        old = await site.serving()
-        # Pretends to start, and then says nothing.
-        hung = hot_restart.request_parent_state(site.path, "hung")
-        assert hung.state["known"]["revision"] == 7 and len(hung.state["known"]["members"]) == ENDPOINT_COUNT
-        assert (await old.call("HEALTH")).startswith("200")
-        # Meanwhile another one is not let in, and says so in one line.
-        code, said = await (await site.start()).ends()
-        assert code == 2 and "an upgrade is under way" in said
-        assert [line for line in said.splitlines() if "counters" not in line] == [said.splitlines()[0]]
-        # It dies, and what it was passed with it: nothing is lost, and the next one is let in.
-        hung.link.close()
-        hung.listening.close()
+        parent = await site.serving()
+        # Requests the state like a starting child, and then sends nothing.
+        silent_child = hot_restart.request_parent_state(site.path, "hung")
+        assert (
+            silent_child.state["known"]["revision"] == 7
+            and len(silent_child.state["known"]["members"]) == ENDPOINT_COUNT
+        )
+        assert (await parent.call("HEALTH")).startswith("200")
+        # Meanwhile another child is refused, which it logs on one line.
+        code, output = await (await site.start()).ends()
+        assert code == 2 and "another hot restart is in progress" in output
+        assert [line for line in output.splitlines() if "counters" not in line] == [output.splitlines()[0]]
+        # The child ends and closes the passed socket: no request is lost, and the next child is accepted.
+        silent_child.link.close()
+        silent_child.listening.close()
         reader, writer = await site.open(request("/look/1", wi="a"))
         await site.seen("a")
         assert await site.event("a") == {"204"} and (await read_message(reader)).body == b"a"
         await site.serving()
-        assert (await old.ends())[0] == 0
+        assert (await parent.ends())[0] == 0
         writer.close()
 
 
 @on_loop
-async def test_a_successor_with_nothing_to_serve_with_waits_and_may_be_ended(tmp_path):
+async def test_a_child_without_endpoints_waits_and_can_be_terminated(tmp_path):
     async with DispatcherHost(tmp_path) as site:
-        old = await site.start(known=0)
+        parent = await site.start(known=0)
         await until(lambda: os.path.exists(site.path))
-        new = await site.start(known=0)
-        await until_listening(new)
-        assert (await new.call("HEALTH")).startswith("400")
-        new.process.send_signal(signal.SIGTERM)
-        code, said = await new.ends()
-        assert code == 0 and "took over" not in said and old.process.returncode is None
-        # What the new one's own configuration knows holds where there is nothing to pass on.
-        third = await site.serving()
-        assert await third.figure("cluster_size") == "4|g" and (await old.ends())[0] == 0
-
-
-async def upgraded_with_a_held_request(site):
-    """A process with a request in hand, the one that took over from it, and the request's stream."""
-    old = await site.serving()
-    held, held_writer = await site.open(request("/look/1", wi="held"))
+        child = await site.start(known=0)
+        await until_listening(child)
+        assert (await child.call("HEALTH")).startswith("400")
+        child.process.send_signal(signal.SIGTERM)
+        code, output = await child.ends()
+        assert code == 0 and "took over" not in output and parent.process.returncode is None
+        # The child's configured list is used if the parent has no list.
+        next_child = await site.serving()
+        assert await next_child.figure("cluster_size") == "4|g" and (await parent.ends())[0] == 0
+
+
+async def restarted_with_a_request_in_flight(site):
+    """Return a parent with a request in flight, its child after a hot restart, and the request's stream."""
+    parent = await site.serving()
+    in_flight, in_flight_writer = await site.open(request("/look/1", wi="held"))
     await site.seen("held")
-    return old, await site.serving(), held, held_writer
+    return parent, await site.serving(), in_flight, in_flight_writer
 
 
-@pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM])
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGTERM])
 @on_loop
-async def test_the_old_process_serves_again_if_the_new_one_ends(tmp_path, number):
+async def test_the_parent_serves_again_if_the_child_ends(tmp_path, signal_number):
     async with DispatcherHost(tmp_path) as site:
-        old, new, held, held_writer = await upgraded_with_a_held_request(site)
-        assert (await old.call("HEALTH")).startswith("400")
-        new.process.send_signal(number)
-        await old.serves()
+        parent, child, in_flight, in_flight_writer = await restarted_with_a_request_in_flight(site)
+        assert (await parent.call("HEALTH")).startswith("400")
+        child.process.send_signal(signal_number)
+        await parent.serves()
         assert (await site.say(HEALTH_REQUEST)).target == "200"
         reader, writer = await site.open(request("/look/1", wi="after"))
         await site.seen("held", "after")
-        for wi, stream in (("held", held), ("after", reader)):
-            assert await site.event(wi) == {"204"}
-            assert (await read_message(stream)).body == wi.encode()
-        # And the next upgrade finds it.
-        third = await site.serving()
-        assert (await old.ends())[0] == 0 and await third.figure("cluster_size") == "4|g"
-        held_writer.close()
+        for request_id, stream in (("held", in_flight), ("after", reader)):
+            assert await site.event(request_id) == {"204"}
+            assert (await read_message(stream)).body == request_id.encode()
+        # The next hot restart finds the parent.
+        next_child = await site.serving()
+        assert (await parent.ends())[0] == 0 and await next_child.figure("cluster_size") == "4|g"
+        in_flight_writer.close()
         writer.close()
 
 
-@pytest.mark.parametrize("number", [signal.SIGKILL, signal.SIGTERM])
+@pytest.mark.parametrize("signal_number", [signal.SIGKILL, signal.SIGTERM])
 @on_loop
-async def test_the_old_process_is_ended_in_the_middle(tmp_path, number):
+async def test_the_child_serves_if_the_parent_is_ended_early(tmp_path, signal_number):
     async with DispatcherHost(tmp_path) as site:
-        old, new, held, held_writer = await upgraded_with_a_held_request(site)
-        old.process.send_signal(number)
-        if number == signal.SIGTERM:
-            # It still finishes what it has, whoever hears of it.
+        parent, child, in_flight, in_flight_writer = await restarted_with_a_request_in_flight(site)
+        parent.process.send_signal(signal_number)
+        if signal_number == signal.SIGTERM:
+            # The parent still finishes its request, with the callback that the child forwards.
             assert await site.event("held") == {"204"}
-            assert (await read_message(held)).body == b"held"
-            assert (await old.ends())[0] == 0
+            assert (await read_message(in_flight)).body == b"held"
+            assert (await parent.ends())[0] == 0
         else:
-            await old.process.wait()
-            # Nobody holds the item any more: the worker is answered all the same.
+            await parent.process.wait()
+            # The request is lost with the parent; the callback is answered all the same.
             assert await site.event("held") == {"204"}
         reader, writer = await site.open(request("/look/1", wi="after"))
         await site.seen("held", "after")
         await site.event("after")
         assert (await read_message(reader)).body == b"after"
-        assert (await new.call("HEALTH")).startswith("200")
-        held_writer.close()
+        assert (await child.call("HEALTH")).startswith("200")
+        in_flight_writer.close()
         writer.close()
 
 
-@pytest.mark.parametrize("left", ["socket", "file", "folder", "nothing"])
+@pytest.mark.parametrize("existing", ["socket", "file", "folder", "nothing"])
 @on_loop
-async def test_what_lies_in_tmpdir(tmp_path, left):
+async def test_starts_whatever_exists_at_the_socket_path(tmp_path, existing):
     async with DispatcherHost(tmp_path) as site:
-        if left == "socket":  # of a process that was killed
+        if existing == "socket":  # left over from a process that was killed
             stale = socket.socket(socket.AF_UNIX)
             stale.bind(site.path)
             stale.close()
-        elif left == "file":
+        elif existing == "file":
             with open(site.path, "w") as file:
                 file.write("somebody's")
-        elif left == "folder":
+        elif existing == "folder":
             os.mkdir(site.path)
         node = await site.serving()
-        if left in ("socket", "nothing"):
+        if existing in ("socket", "nothing"):
             await until(lambda: os.path.exists(site.path))
             await site.serving()
             assert (await node.ends())[0] == 0
         else:
-            # It is not ours to take away: the process serves, and says that no upgrade will find it.
+            # A foreign file is not removed: the process serves, and logs that no child will find it.
             node.process.send_signal(signal.SIGTERM)
-            code, said = await node.ends()
-            assert code == 0 and "no upgrade will find this process" in said and os.path.lexists(site.path)
+            code, output = await node.ends()
+            assert code == 0 and "no upgrade will find this process" in output and os.path.lexists(site.path)
 
 
 @on_loop
-async def test_without_tmpdir_a_second_process_is_turned_away(tmp_path):
+async def test_without_tmpdir_a_second_process_does_not_start(tmp_path):
     async with DispatcherHost(tmp_path, scratch=False) as site:
-        old = await site.serving()
-        code, said = await (await site.start()).ends()
-        assert code == 2 and "cannot listen at" in said
-        assert (await old.call("HEALTH")).startswith("200")
+        parent = await site.serving()
+        code, output = await (await site.start()).ends()
+        assert code == 2 and "cannot listen at" in output
+        assert (await parent.call("HEALTH")).startswith("200")
 
 
 @pytest.mark.parametrize(
-    ("says", "word"),
+    ("reply", "word"),
     [
         (b'{"refused":"busy"}\n', "busy"),
-        (b"{}\n", "passed no socket on"),
+        (b"{}\n", "did not pass exactly one listening socket"),
         (b"[]\n", "does not hand over"),
         (b"nonsense\n", "literal"),
         (b"", "does not hand over"),
-        (None, "does not answer"),
+        (None, "does not respond"),
     ],
 )
-def test_a_foreign_listener_is_told_of_in_one_line(tmp_path, monkeypatch, says, word):
+def test_an_invalid_reply_of_the_listener_is_reported_on_one_line(tmp_path, monkeypatch, reply, word):
     monkeypatch.setattr(hot_restart.child, "PARENT_TIMEOUT_S", 0.2)
     path = hot_restart.socket_path(str(tmp_path), "127.0.0.1", 8080)
-    with socket.socket(socket.AF_UNIX) as foreign:
-        foreign.bind(path)
-        foreign.listen()
-        if says is not None:
+    with socket.socket(socket.AF_UNIX) as listener:
+        listener.bind(path)
+        listener.listen()
+        if reply is not None:
 
             def answer():
-                link, _ = foreign.accept()
+                link, _ = listener.accept()
                 link.recv(100)
-                link.sendall(says)
+                link.sendall(reply)
                 link.close()
 
             threading.Thread(target=answer, daemon=True).start()
-        with pytest.raises(hot_restart.HotRestartError, match=word) as problem:
+        with pytest.raises(hot_restart.HotRestartError, match=word) as error:
             hot_restart.request_parent_state(path, "n0")
-        assert "\n" not in str(problem.value)
+        assert "\n" not in str(error.value)
 
 
-def test_a_deep_folder_is_no_hindrance(tmp_path):
+def test_a_long_path_to_the_socket_is_supported(tmp_path):
     folder = tmp_path / ("d" * 100)
     folder.mkdir()
     assert (
@@ -267,37 +277,37 @@
 
 
 @on_loop
-async def test_a_holder_that_does_not_answer_has_the_worker_call_again(monkeypatch):
+async def test_a_callback_gets_503_if_the_other_process_does_not_answer(monkeypatch):
     monkeypatch.setattr(hot_restart.link, "CALLBACK_TIMEOUT_S", 0.05)
-    one, other = socket.socketpair()
-    async with DispatcherRig(taken) as rig:
-        link = rig.service.hot_restart.parent = await hot_restart.Link.over(one)
+    local_end, remote_end = socket.socketpair()
+    async with DispatcherRig(accept) as rig:
+        link = rig.service.hot_restart.parent = await hot_restart.Link.over(local_end)
         assert (await rig.callback("w0", "done", "elsewhere", result="x")).target == "503"
-        assert json.loads(other.recv(9999))["callback"]
+        assert json.loads(remote_end.recv(9999))["callback"]
         link.close()
-        # Asked after its end, as by who still has it in hand: at once, and not as of a holder that is silent.
+        # After the link was closed, the answer comes at once and is not 503.
         assert await link.forward_callback(b"x") is None
         rig.service.hot_restart.parent = None
-        # Nobody's: late, or of a process that has gone.
+        # A callback for a request that is open in no process.
         assert (await rig.callback("w0", "done", "elsewhere", result="x")).target == "204"
-    other.close()
+    remote_end.close()
 
 
-def test_a_list_goes_over_as_it_is():
-    told = members(
+def test_a_list_is_unchanged_after_formatting_and_parsing():
+    message = members(
         member("w0", "127.0.0.1:1", up_since_ms=5.5),
         member("w1", "127.0.0.1:2", "Terminating", size=0.5),
         {"id": "w2", "phase": "Ready"},
         revision=9,
     )
-    known = parse_endpoint_list(told)
-    again = parse_endpoint_list(
-        json.loads(json.dumps(format_endpoint_list(known.update.entries, known.addresses, 9)))
+    endpoint_list = parse_endpoint_list(message)
+    parsed = parse_endpoint_list(
+        json.loads(json.dumps(format_endpoint_list(endpoint_list.update.entries, endpoint_list.addresses, 9)))
     )
-    assert again == known
+    assert parsed == endpoint_list
 
 
-def test_of_two_processes_one_spends_the_cold_budget():
+def test_only_one_of_two_processes_spends_the_slow_start_budget():
     def sent(rig):
         return len(
             commands_of(StartAttempt, rig.feed(RequestArrived(f"i{rig.now}", "look", 4000.0), after=1.0))
@@ -307,7 +317,7 @@
     rig.feed(EndpointListUpdate(ListUpdateKind.FULL, (endpoint_entry(0, since=98000.0),)))
     rig.feed(SlowStartBudgetAssigned(False))
     assert sum([sent(rig) for _ in range(5)]) == 0
-    # What the other sent counts for one span more.
+    # Requests that the other process sent count for one more window.
     rig.feed(SlowStartBudgetAssigned(True))
     assert sent(rig) == 0
     rig.feed(after=1000.0)
@@ -317,34 +327,34 @@
     assert sent(rig) == 0
 
 
-def test_what_was_learned_goes_on_and_what_cannot_be_read_does_not():
-    old = RouterRig(2, reporting__how="answers")
+def test_warm_state_is_imported_and_invalid_parts_are_ignored():
+    parent = RouterRig(2, reporting__how="answers")
     report = {"rate": 30.0, "queue": 0.0, "x0": 3.0}
     for number in range(6):
         (sent,) = commands_of(
-            StartAttempt, old.feed(RequestArrived(f"i{number}", "look", 4000.0), after=10.0)
+            StartAttempt, parent.feed(RequestArrived(f"i{number}", "look", 4000.0), after=10.0)
         )
-        old.feed(AttemptStarted(f"i{number}", 0), after=5.0)
+        parent.feed(AttemptStarted(f"i{number}", 0), after=5.0)
         ended = AttemptEnded(f"i{number}", 0, AttemptResult.COMPLETED, sent.endpoint_id, 60.0, True, report)
-        old.feed(ended, after=60.0)
-    (sent,) = commands_of(StartAttempt, old.feed(RequestArrived("out", "look", 4000.0), after=10.0))
-    told = json.loads(json.dumps(warm_state.export_state(old.router)))
-    new = RouterRig(2, now=old.now, reporting__how="answers")
-    warm_state.import_state(new.router, told)
-    slots = [[endpoint.slots for endpoint in one.router.endpoints.all] for one in (new, old)]
+        parent.feed(ended, after=60.0)
+    (sent,) = commands_of(StartAttempt, parent.feed(RequestArrived("out", "look", 4000.0), after=10.0))
+    state = json.loads(json.dumps(warm_state.export_state(parent.router)))
+    child = RouterRig(2, now=parent.now, reporting__how="answers")
+    warm_state.import_state(child.router, state)
+    slots = [[endpoint.slots for endpoint in rig.router.endpoints.all] for rig in (child, parent)]
     assert slots[0] == slots[1] == [3.0, 3.0]
-    means = [one.router.classes.by_name["look"].mean_run_ms() for one in (new, old)]
+    means = [rig.router.classes.by_name["look"].mean_run_ms() for rig in (child, parent)]
     assert means[0] == means[1] < 625.0
-    here, there = [one.router.endpoints.find(sent.endpoint_id) for one in (new, old)]
-    assert here.own_slots == 0.0 and here.other_slots == there.other_slots + 1.0
-    # A worker that has started again since, one that is not listed, and figures of another version.
-    started = RouterRig(0, now=old.now, reporting__how="answers")
+    in_child, in_parent = [rig.router.endpoints.find(sent.endpoint_id) for rig in (child, parent)]
+    assert in_child.own_slots == 0.0 and in_child.other_slots == in_parent.other_slots + 1.0
+    # State of an endpoint that has restarted since, of one that is not listed, and of another version.
+    started = RouterRig(0, now=parent.now, reporting__how="answers")
     started.feed(EndpointListUpdate(ListUpdateKind.FULL, (endpoint_entry(0, since=5.0),)))
     fresh = [endpoint.rate for endpoint in started.router.endpoints.all]
     workers = {"since": {"w0": "x"}, "rate": {"w0": True}, "more": 1}
-    odd = {"workers": workers, "kinds": [], "all": {"credit": ""}}
-    for each in (told, odd, None, [], {"categories": {"look": {"run_sum": 1e400}}}):
-        warm_state.import_state(started.router, each)
+    invalid = {"workers": workers, "kinds": [], "all": {"credit": ""}}
+    for document in (state, invalid, None, [], {"categories": {"look": {"run_sum": 1e400}}}):
+        warm_state.import_state(started.router, document)
     assert [endpoint.rate for endpoint in started.router.endpoints.all] == fresh
     assert started.router.retry_budget.balance > 0.0
     commands_of(StartAttempt, started.feed(RequestArrived("a", "look", 4000.0)))
--- a/tests/net/test_hot_restart_versions.py
+++ b/tests/net/test_hot_restart_versions.py
@@ -1,4 +1,4 @@
-"""Hot restarts between versions: recorded messages are read, and what is written has the same fields."""
+"""Hot restarts between versions: recorded messages are read, and written messages have the same fields."""
 
 import asyncio
 import contextlib
@@ -30,7 +30,7 @@
 RECORDED = Path(__file__).parents[1] / "data" / "hot_restart"
 STARTED_MS = 1_700_000_000_000.0
 HOUR_MS = 3_600_000.0
-NOTHING_KNOWN = EndpointList(0, EndpointListUpdate(ListUpdateKind.FROM_DISK), {})
+EMPTY_LIST = EndpointList(0, EndpointListUpdate(ListUpdateKind.FROM_DISK), {})
 
 
 def recorded(name):
@@ -41,13 +41,13 @@
 CHILD_HELLO, CHILD_READY, CHILD_CALLBACK, CHILD_ANSWER = recorded("child-0.2.0.jsonl")
 
 
-def later(ms=100.0):
-    """The time source of a child that reads the recorded state so much later."""
-    return SteppedTime(monotonic=PARENT_STATE["clock"]["monotonic"] + ms, wall=0.0)
+def delayed_time(delay_ms=100.0):
+    """Return the time source of a child that reads the recorded state after this delay."""
+    return SteppedTime(monotonic=PARENT_STATE["clock"]["monotonic"] + delay_ms, wall=0.0)
 
 
 def listed_endpoints():
-    """The endpoints of the recorded state."""
+    """Return the endpoints of the recorded state."""
     phases = ["Ready", "Ready", "Ready", "Terminating"]
     return [
         member(f"w{number}", f"127.0.0.1:{number + 1}", phase, locality="a", up_since_ms=STARTED_MS + number)
@@ -55,63 +55,71 @@
     ]
 
 
-def dispatcher(stack, source, inherited=None):
-    """A dispatcher like that of the recorded state, not started, and closed with the stack."""
-    known = parse_endpoint_list(members(*listed_endpoints(), revision=7), ListUpdateKind.FROM_DISK)
+def create_service(stack, source, inherited=None):
+    """Create a dispatcher like that of the recorded state; it is not started, and closed with the stack."""
+    endpoint_list = parse_endpoint_list(members(*listed_endpoints(), revision=7), ListUpdateKind.FROM_DISK)
     settings = SETTINGS | {"zone": "a", "reporting.how": "answers"}
     config = DispatcherConfig(
-        "n0", ("127.0.0.1", 0), "127.0.0.1:1", 7, 64, known, settings, plan=True, clock=source.clock()
+        "n0",
+        ("127.0.0.1", 0),
+        "127.0.0.1:1",
+        7,
+        64,
+        endpoint_list,
+        settings,
+        follows_plan=True,
+        clock=source.clock(),
     )
     service = Service(config, inherited)
     stack.push_async_callback(service.close)
     return service
 
 
-def fields(value):
-    """The fields of a JSON value in their order, without what stands in them."""
+def shape_of(value):
+    """Return the names and types of a JSON value's fields in their order, without the values."""
     if isinstance(value, dict):
-        return [(name, fields(inner)) for name, inner in value.items()]
+        return [(name, shape_of(inner)) for name, inner in value.items()]
     if isinstance(value, list):
-        return [fields(inner) for inner in value]
+        return [shape_of(inner) for inner in value]
     is_number = isinstance(value, int | float) and not isinstance(value, bool)
     return "number" if is_number else type(value).__name__
 
 
-# ---------------------------------------------------------------- what the version before wrote is read
+# ---------------------------------------------------------------- reading messages of the previous version
 
 
 def test_the_recorded_list_is_read():
     inherited = Inherited(None, None, PARENT_STATE)
-    known = inherited_list(inherited, PARENT_STATE["discovery"], NOTHING_KNOWN)
-    assert known.revision == 7 and known.update.kind == ListUpdateKind.FROM_DISK
-    assert [(entry.endpoint_id, entry.state, entry.started_ms) for entry in known.update.entries] == [
+    endpoint_list = inherited_list(inherited, PARENT_STATE["discovery"], EMPTY_LIST)
+    assert endpoint_list.revision == 7 and endpoint_list.update.kind == ListUpdateKind.FROM_DISK
+    assert [(entry.endpoint_id, entry.state, entry.started_ms) for entry in endpoint_list.update.entries] == [
         ("w0", EndpointState.READY, STARTED_MS),
         ("w1", EndpointState.READY, STARTED_MS + 1.0),
         ("w2", EndpointState.READY, STARTED_MS + 2.0),
         ("w3", EndpointState.DRAINING, STARTED_MS + 3.0),
     ]
-    assert set(known.addresses) == {"w0", "w1", "w2", "w3"}
-    assert inherited_list(inherited, "127.0.0.1:1", NOTHING_KNOWN).revision == 0
+    assert set(endpoint_list.addresses) == {"w0", "w1", "w2", "w3"}
+    assert inherited_list(inherited, "127.0.0.1:1", EMPTY_LIST).revision == 0
 
 
 def test_the_recorded_clock_drains_and_plan_are_read():
     inherited = Inherited(None, None, PARENT_STATE)
-    source = later()
+    source = delayed_time()
     clock = inherited_clock(inherited, source.clock())
     assert clock.base == PARENT_STATE["clock"]["base"] and inherited_starts(inherited) == {}
-    some = inherited_drains(inherited, clock)
-    assert some.version == (5, 3) and [drain.target for drain in some.drains] == ["w1", "z"]
-    assert some.drains[0].expires_ms - clock() == pytest.approx(HOUR_MS, abs=5000.0)
-    assert some.drains[1].expires_ms == drains.INFINITY
-    held = parse_plan(PARENT_STATE["plan"], clock)
-    assert held.plan.version == (1, 2) and [zone.name for zone in held.plan.zones] == ["a"]
-    assert 0.0 < held.expires_ms - clock() <= HOUR_MS
+    drain_set = inherited_drains(inherited, clock)
+    assert drain_set.version == (5, 3) and [drain.target for drain in drain_set.drains] == ["w1", "z"]
+    assert drain_set.drains[0].expires_ms - clock() == pytest.approx(HOUR_MS, abs=5000.0)
+    assert drain_set.drains[1].expires_ms == drains.INFINITY
+    lease = parse_plan(PARENT_STATE["plan"], clock)
+    assert lease.plan.version == (1, 2) and [zone.name for zone in lease.plan.zones] == ["a"]
+    assert 0.0 < lease.expires_ms - clock() <= HOUR_MS
 
 
 @on_loop
 async def test_a_child_starts_from_the_recorded_state():
     async with contextlib.AsyncExitStack() as stack:
-        child = dispatcher(stack, later(), Inherited(None, None, PARENT_STATE))
+        child = create_service(stack, delayed_time(), Inherited(None, None, PARENT_STATE))
         assert child.core.clock.base == PARENT_STATE["clock"]["base"]
         assert child.config.initial_list.addresses["w0"] == PARENT_STATE["known"]["members"][0]["host_port"]
         assert child.drains_at_start().version == (5, 3)
@@ -121,20 +129,20 @@
 
 @on_loop
 async def test_the_recorded_warm_state_is_read():
-    warm = messages.parse(PARENT_HANDED_OVER).warm_state
+    warm_map = messages.parse(PARENT_HANDED_OVER).warm_state
     async with contextlib.AsyncExitStack() as stack:
-        child = dispatcher(stack, later(), Inherited(None, None, PARENT_STATE))
+        child = create_service(stack, delayed_time(), Inherited(None, None, PARENT_STATE))
         router = child.core.router
         router.handle(child.core.clock(), [child.config.initial_list.update])
-        warm_state.import_state(router, warm)
-        again = json.loads(json.dumps(warm_state.export_state(router)))
+        warm_state.import_state(router, warm_map)
+        exported = json.loads(json.dumps(warm_state.export_state(router)))
     for name in ("rate", "queue", "busy", "heard", "run_seen", "run_due", "share"):
-        assert again["workers"][name] == warm["workers"][name], name
-    # What the parent has in flight counts as another dispatcher's.
-    others, out = warm["workers"]["others"], warm["out"]
-    assert again["workers"]["others"] == {name: others[name] + out[name] for name in others}
-    assert again["kinds"] == warm["kinds"] and again["all"] == warm["all"]
-    assert again["categories"]["look"] == warm["categories"]["look"]
+        assert exported["workers"][name] == warm_map["workers"][name], name
+    # The parent's attempts in flight count as another dispatcher's.
+    others, in_flight = warm_map["workers"]["others"], warm_map["out"]
+    assert exported["workers"]["others"] == {name: others[name] + in_flight[name] for name in others}
+    assert exported["kinds"] == warm_map["kinds"] and exported["all"] == warm_map["all"]
+    assert exported["categories"]["look"] == warm_map["categories"]["look"]
 
 
 def test_the_recorded_messages_are_read():
@@ -151,38 +159,38 @@
     ]
 
 
-# ---------------------------------------------------------------- what is written has the same fields
+# ---------------------------------------------------------------- the fields of written messages
 
 
 @on_loop
 async def test_a_parent_writes_the_recorded_fields():
     async with contextlib.AsyncExitStack() as stack:
         source = SteppedTime()
-        parent = dispatcher(stack, source)
+        parent = create_service(stack, source)
         core, clock = parent.core, parent.core.clock
-        some = drains.set_drain(
+        drain_set = drains.set_drain(
             drains.DrainSet(5),
             drains.Drain("worker", "w1", "ana", "disk", 0.0, clock() + HOUR_MS, 0),
             clock(),
         )
         core.endpoints.drains = drains.set_drain(
-            some, drains.Drain("zone", "z", "ana", "", 0.0, drains.INFINITY, 0), clock()
+            drain_set, drains.Drain("zone", "z", "ana", "", 0.0, drains.INFINITY, 0), clock()
         )
         plan = traffic_plan.Plan(1, 2, "h1", clock(), zones=(traffic_plan.ZonePlan("a"),))
         core.endpoints.follower.accept(plan_application.PlanLease(plan, clock() + 4000.0))
         running = asyncio.create_task(core.run())
-        await core.ask(WarmStateRequested)  # the router has the list once the batch of this one is over
-        core.put(WarmStateReceived(PARENT_HANDED_OVER["yours"]))  # has it know what was reported there
-        warm = json.loads(json.dumps(await core.ask(WarmStateRequested)))
-        state = json.loads(json.dumps(parent.handover.export_state()))
+        await core.ask(WarmStateRequested)  # the router has the list once the batch of this query is done
+        core.put(WarmStateReceived(PARENT_HANDED_OVER["yours"]))  # imports the recorded load reports
+        warm_map = json.loads(json.dumps(await core.ask(WarmStateRequested)))
+        state = json.loads(json.dumps(parent.hot_restart_actions.export_state()))
         running.cancel()
-    assert fields(state) == fields(PARENT_STATE)
-    wanted = PARENT_HANDED_OVER["yours"]
-    # Three request classes here, one there: each has the same fields.
-    there, here = wanted["categories"]["look"], warm["categories"]
-    assert [fields(each) for each in here.values()] == [fields(there)] * 3
-    assert fields(warm | {"categories": {}}) == fields(wanted | {"categories": {}})
-    assert fields(messages.HandedOver(warm).to_json())[0][0] == "yours"
+    assert shape_of(state) == shape_of(PARENT_STATE)
+    expected = PARENT_HANDED_OVER["yours"]
+    # Three request classes here, one in the recording: each has the same fields.
+    expected_class, classes = expected["categories"]["look"], warm_map["categories"]
+    assert [shape_of(actual_class) for actual_class in classes.values()] == [shape_of(expected_class)] * 3
+    assert shape_of(warm_map | {"categories": {}}) == shape_of(expected | {"categories": {}})
+    assert shape_of(messages.HandedOver(warm_map).to_json())[0][0] == "yours"
 
 
 def test_messages_are_written_as_recorded():
