--- a/tests/net/test_idle_connections.py
+++ b/tests/net/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Kept connections of clients and to endpoints: their ends, and requests that cross them."""
+"""Keep-alive connections of clients and to endpoints, and requests sent while one is being closed."""
 
 import asyncio
 import contextlib
@@ -17,9 +17,11 @@
 from dunepulley.net.messages import CallbackReceived
 
 
-@pytest.mark.parametrize("half", [True, False])
+@pytest.mark.parametrize("has_partial_request", [True, False])
 @on_loop
-async def test_a_connection_that_rests_too_long_is_closed_but_not_under_half_a_request(half, monkeypatch):
+async def test_keep_alive_timeout_closes_idle_connections_but_not_partial_requests(
+    has_partial_request, monkeypatch
+):
     monkeypatch.setattr(client_connection, "KEEP_ALIVE_TIMEOUT_S", 0.3)
     async with DispatcherRig(lambda call: ACCEPTED) as rig, ClientSocket(rig.service.port) as client:
         await client.send(request("/look/1", wi="a"))
@@ -27,9 +29,11 @@
         await rig.callback("w0", "done", "a", result="made")
         assert (await client.ending()).kept
         (connection,) = [
-            one for one in rig.frontend.server.accepted if one.has_sent_request and not one.is_endpoint
+            connection
+            for connection in rig.frontend.server.accepted
+            if connection.has_sent_request and not connection.is_endpoint
         ]
-        if half:
+        if has_partial_request:
             await client.send(request("/look/1", wi="b")[:-1])
             await until(lambda: connection.buffer.received)
             await asyncio.wait([asyncio.create_task(client.ending())], timeout=0.5)
@@ -38,29 +42,29 @@
             await until(lambda: connection not in rig.frontend.server.accepted)
 
 
-def reply_to(call, kept):
-    """What an endpoint says to an attempt that goes over a connection that it forgot, and to all else."""
+def reply_to(call, stale_reply):
+    """Return the reply to a call: `stale_reply` for request "a" over the stale connection, else success."""
     if call.method == "DELETE":
         return response(204)
-    return kept if call.connection == 1 and call.headers["x-call-id"] == "a" else ACCEPTED
+    return stale_reply if call.connection == 1 and call.headers["x-call-id"] == "a" else ACCEPTED
 
 
-# How the kept connection ends under the request, and by class whether a further attempt may be made.
-FORGETS = {
+# How the stale connection fails during the request, and by target whether the request may be retried.
+STALE_CONNECTIONS = {
     "reset": (ABORT, {LOOK: True, STORE: True, PAY: False}),
     "close": (CLOSE, {LOOK: True, STORE: True, PAY: False}),
     "silence": (SILENT, {LOOK: True, STORE: True, PAY: False}),
-    # Before the last byte has left: it never ran, whatever the class.
+    # Before the last byte was sent: it never ran, whatever the class.
     "reset before the last byte": (ACCEPTED, {LOOK: True, STORE: True, PAY: True}),
 }
 
 
 @pytest.mark.parametrize("target", [LOOK, STORE, PAY])
-@pytest.mark.parametrize("way", FORGETS)
+@pytest.mark.parametrize("way", STALE_CONNECTIONS)
 @on_loop
-async def test_a_connection_that_its_endpoint_forgot_repeats_only_what_may_be_repeated(way, target):
-    kept, repeats = FORGETS[way]
-    rig = DispatcherRig(lambda call: reply_to(call, kept), **DUE_LATE)
+async def test_request_on_a_stale_connection_is_retried_only_if_that_is_safe(way, target):
+    stale_reply, may_retry = STALE_CONNECTIONS[way]
+    rig = DispatcherRig(lambda call: reply_to(call, stale_reply), **DUE_LATE)
     async with rig, ClientSocket(rig.service.port) as client:
         (endpoint,) = rig.endpoints
         await client.send(request("/look/1", wi="before"))
@@ -72,15 +76,15 @@
             if way != "reset before the last byte":
                 fault.lift()
             await client.send(request(target, b"x", KEY))
-            seen = 1 if way == "reset before the last byte" or not repeats[target] else 2
+            seen = 1 if way == "reset before the last byte" or not may_retry[target] else 2
             await until(lambda: len(attempts(rig)) >= seen)
-        if repeats[target]:
+        if may_retry[target]:
             await rig.callback("w0", "done", result="made")
         ending = await client.ending()
-        assert (ending.verdict, ending.body) == (("200", b"made") if repeats[target] else ("500", b""))
+        assert (ending.verdict, ending.body) == (("200", b"made") if may_retry[target] else ("500", b""))
         await all_ended(rig)
         assert len(attempts(rig)) == seen and not client.left
-        # Over the connection at hand first, and once only over that.
+        # The stale connection is used first, and only once.
         connections = [call.connection for call in endpoint.seen if call.headers.get("x-call-id") == "a"]
         assert connections.count(1) == (way != "reset before the last byte")
 
@@ -89,10 +93,10 @@
     return rig.endpoints[0].port
 
 
-@pytest.mark.parametrize("comes", ["before", "half before", "between", "after"])
-@pytest.mark.parametrize("room", ["new connection", "another process"])
+@pytest.mark.parametrize("sent", ["before", "partly before", "between", "after"])
+@pytest.mark.parametrize("cause", ["new connection", "another process"])
 @on_loop
-async def test_a_request_that_crosses_a_close_for_room_is_answered_or_not_read(room, comes, monkeypatch):
+async def test_request_sent_while_its_connection_is_evicted_is_not_read(cause, sent, monkeypatch):
     monkeypatch.setattr(connection_table, "MIN_IDLE_S", 0.0)
     monkeypatch.setattr(connection_table, "MIN_PARTIAL_PAUSE_S", 0.0)
 
@@ -102,63 +106,63 @@
         await rig.callback("w0", "done", "first", result="made")
         assert (await client.ending()).kept
         server = rig.frontend.server
-        # Callbacks' connections have gone: only the resting one is there.
+        # The endpoint's connections for callbacks are closed: only the client's idle one is left.
         await until(lambda: len(server.accepted) == 1)
-        (resting,) = server.accepted
+        (idle,) = server.accepted
         raw = request(LOOK)
-        if comes == "half before":
+        if sent == "partly before":
             client.socket.send(raw[:40])
-            await until(lambda: resting.buffer.received)
-        if comes == "before":
+            await until(lambda: idle.buffer.received)
+        if sent == "before":
             client.socket.send(raw)
-        if room == "another process":
+        if cause == "another process":
             server.set_connection_fraction(0.0)
         else:
             assert server.evict_connection()
         # Between the decision to close and the close itself, which is one turn of the loop later.
-        if comes == "between":
+        if sent == "between":
             client.socket.send(raw)
-        if comes == "half before":
+        if sent == "partly before":
             client.socket.send(raw[40:])
-        await until(lambda: resting not in server.accepted and resting.transport.is_closing())
+        await until(lambda: idle not in server.accepted and idle.transport.is_closing())
         await asyncio.sleep(0)
-        if comes == "after":
+        if sent == "after":
             await client.send(raw)
         ending = await client.ending()
         assert ending.verdict == NOT_READ
         assert not attempts(rig) and rig.core.counters["taken"] == 1
 
 
-@pytest.mark.parametrize("halves", [False, True])
+@pytest.mark.parametrize("are_partial", [False, True])
 @on_loop
-async def test_of_many_requests_that_cross_a_close_for_room_each_is_answered_or_not_read(halves, monkeypatch):
+async def test_many_requests_sent_during_evictions_are_each_answered_or_not_read(are_partial, monkeypatch):
     monkeypatch.setattr(connection_table, "MIN_IDLE_S", 0.0)
     monkeypatch.setattr(connection_table, "MIN_PARTIAL_PAUSE_S", 0.0)
 
-    def say(call):
+    def respond(call):
         if call.method == "POST":
             rig.core.put(CallbackReceived(call.headers["x-call-id"], "w0", "done", 0.0, b"made", None))
         return ACCEPTED
 
-    async with DispatcherRig(say, **DUE_LATE) as rig, contextlib.AsyncExitStack() as stack:
+    async with DispatcherRig(respond, **DUE_LATE) as rig, contextlib.AsyncExitStack() as stack:
         server = rig.frontend.server
-        some = [await stack.enter_async_context(ClientSocket(rig.service.port)) for _ in range(12)]
-        for number, client in enumerate(some):
+        clients = [await stack.enter_async_context(ClientSocket(rig.service.port)) for _ in range(12)]
+        for number, client in enumerate(clients):
             await client.send(request(LOOK, wi=f"first{number}"))
             assert (await client.ending()).kept
         raws = [request(LOOK, wi=f"r{number}") for number in range(12)]
-        cut = 40 if halves else 0
-        for client, raw in zip(some, raws, strict=True):
+        cut = 40 if are_partial else 0
+        for client, raw in zip(clients, raws, strict=True):
             client.socket.send(raw[:cut])
-        await until(lambda: len(server.partial) == (12 if halves else 0))
-        for number, (client, raw) in enumerate(zip(some, raws, strict=True)):
+        await until(lambda: len(server.partial) == (12 if are_partial else 0))
+        for number, (client, raw) in enumerate(zip(clients, raws, strict=True)):
             if number % 2:
                 client.socket.send(raw[cut:])
         server.set_connection_fraction(6 / server.full_limit)
-        for number, (client, raw) in enumerate(zip(some, raws, strict=True)):
+        for number, (client, raw) in enumerate(zip(clients, raws, strict=True)):
             if not number % 2:
                 client.socket.send(raw[cut:])
-        endings = [await client.ending() for client in some]
-        # Half are closed, and nothing of them was read; the others are served.
+        endings = [await client.ending() for client in clients]
+        # Half of the connections are closed, and their requests were not read; the others are served.
         assert [ending.verdict for ending in endings] == [NOT_READ] * 6 + ["200"] * 6
         assert [len(attempts(rig, f"r{number}")) for number in range(12)] == [0] * 6 + [1] * 6
--- a/tests/net/test_json_lines.py
+++ b/tests/net/test_json_lines.py
@@ -1,4 +1,4 @@
-"""JSON documents out of a stream: chunks to lines, lines to documents."""
+"""Parsing JSON documents from a stream: chunks to lines, lines to documents."""
 
 import json
 
@@ -13,17 +13,17 @@
 def documents_of(chunks):
     lines = JsonLines()
     parsed = [lines.parse(line) for chunk in chunks for line in lines.split(chunk)]
-    return [each for each in parsed if not isinstance(each, LineKind)]
+    return [document for document in parsed if not isinstance(document, LineKind)]
 
 
 @pytest.mark.parametrize("size", [1, 2, 7, 1000])
 @pytest.mark.parametrize("indent", [None, 1])
-def test_documents_come_out_whatever_the_chunks_are(size, indent):
-    raw = b"".join([json.dumps(each, indent=indent).encode() + b"\n\n" for each in DOCUMENTS])
+def test_documents_are_parsed_from_chunks_of_any_size(size, indent):
+    raw = b"".join([json.dumps(document, indent=indent).encode() + b"\n\n" for document in DOCUMENTS])
     assert documents_of([raw[at : at + size] for at in range(0, len(raw), size)]) == DOCUMENTS
 
 
-def test_each_line_is_told_apart():
+def test_reports_the_kind_of_each_line():
     lines = JsonLines()
     kinds = [lines.parse(line) for line in (b"", b"  ", b"{", b'"a": 1', b"}", b"[]")]
     empty, incomplete = LineKind.EMPTY, LineKind.INCOMPLETE
@@ -31,13 +31,13 @@
 
 
 @pytest.mark.parametrize("raw", [b"{\n\n", b"nonsense\n", b"{\n}}\n", b"}\n"])
-def test_what_is_no_document_is_an_error(raw):
+def test_an_invalid_document_raises_value_error(raw):
     with pytest.raises(ValueError, match=".+"):
         documents_of([raw])
 
 
 @pytest.mark.parametrize("chunks", [[b"x" * 11], [b"{\n", b"1" * 10]])
-def test_a_line_without_end_is_an_error(monkeypatch, chunks):
+def test_a_line_or_document_that_is_too_long_raises_value_error(monkeypatch, chunks):
     monkeypatch.setattr(json_lines, "MAX_LINE_BYTES", 10)
-    with pytest.raises(ValueError, match="without end"):
+    with pytest.raises(ValueError, match="at most 10 bytes"):
         documents_of(chunks)
--- a/tests/net/test_list_polling.py
+++ b/tests/net/test_list_polling.py
@@ -1,4 +1,4 @@
-"""When the list is asked for again: the longest time for which an old one can be acted on, path by path."""
+"""The backoff before calls to discovery, and the bound on the age of the endpoint list."""
 
 from random import Random
 
@@ -7,101 +7,101 @@
 from dunepulley.net import list_polling
 from dunepulley.net.list_polling import PollBackoff, WatchEnd
 
-# What the protocol allows: news counts as told so long after it could be had; the grace with its slack.
-TOLD_S, CUT_MOST = 6.0, 0.35
-# By path: how the watch ended, whether it had brought a line, and the most that has passed until then.
-PATHS = {
-    "cut": (WatchEnd.CUT, True, 2.0),
-    "cut before a line": (WatchEnd.CUT, False, 2.0),
-    "silence": (WatchEnd.CUT, True, list_polling.IDLE_TIMEOUT_S),
-    "silence before a line": (WatchEnd.CUT, False, list_polling.IDLE_TIMEOUT_S),
-    "a silent call": (WatchEnd.CUT, False, list_polling.RESPONSE_TIMEOUT_S),
+# The protocol's bound on the age of the list while discovery can be reached, and the grace period with slack.
+MAX_STALENESS_S, GRACE_S = 6.0, 0.35
+# By case: how the watch ended, whether it had brought a line, and the maximum age of the list at its end.
+ENDS = {
+    "interrupted": (WatchEnd.INTERRUPTED, True, 2.0),
+    "interrupted before a line": (WatchEnd.INTERRUPTED, False, 2.0),
+    "idle": (WatchEnd.INTERRUPTED, True, list_polling.IDLE_TIMEOUT_S),
+    "idle before a line": (WatchEnd.INTERRUPTED, False, list_polling.IDLE_TIMEOUT_S),
+    "no response": (WatchEnd.INTERRUPTED, False, list_polling.RESPONSE_TIMEOUT_S),
     "refused at once": (WatchEnd.REFUSED, False, 0.0),
-    "refused in turn": (WatchEnd.REFUSED, False, list_polling.RESPONSE_TIMEOUT_S),
-    "refused after silence": (WatchEnd.REFUSED, False, list_polling.IDLE_TIMEOUT_S + 0.2),
-    "refused again and again": (WatchEnd.REFUSED, False, 3.7),
-    "cut again and again": (WatchEnd.CUT, False, 3.7),
+    "refused after the response timeout": (WatchEnd.REFUSED, False, list_polling.RESPONSE_TIMEOUT_S),
+    "refused after the idle timeout": (WatchEnd.REFUSED, False, list_polling.IDLE_TIMEOUT_S + 0.2),
+    "refused repeatedly": (WatchEnd.REFUSED, False, 3.7),
+    "interrupted repeatedly": (WatchEnd.INTERRUPTED, False, 3.7),
 }
 
 
-@pytest.mark.parametrize("path", PATHS)
+@pytest.mark.parametrize("case", ENDS)
 @pytest.mark.parametrize("pushed", [True, False])
-@pytest.mark.parametrize("many", [1.0, 9.0, 40.0, 200.0, 2000.0])
-def test_on_every_path_a_call_is_answered_before_what_it_brings_counts_as_told(path, pushed, many):
-    # Guards against an old list that is acted on for longer, 17 s after refusals, whatever went before.
-    end, heard, passed = PATHS[path]
+@pytest.mark.parametrize("dispatchers", [1.0, 9.0, 40.0, 200.0, 2000.0])
+def test_every_call_can_be_answered_within_the_staleness_bound(case, pushed, dispatchers):
+    # Guards against using an old list for longer than allowed: 17 s after refusals, in the past.
+    end, received, age_s = ENDS[case]
     for seed in range(100):
-        chance = Random(seed)
-        backoff = PollBackoff(chance, many, pushed)
+        random = Random(seed)
+        backoff = PollBackoff(random, dispatchers, pushed)
         for _ in range(20):
-            # Any calls before it, cut, silent or refused, make the backoff grow.
-            backoff.next_delay_s(*chance.choice(list(PATHS.values())))
+            # Previous calls that were interrupted, unanswered or refused increase the backoff.
+            backoff.next_delay_s(*random.choice(list(ENDS.values())))
             assert (
-                passed + backoff.next_delay_s(end, heard, passed) + list_polling.RESPONSE_TIMEOUT_S
-                <= TOLD_S + 1e-9
+                age_s + backoff.next_delay_s(end, received, age_s) + list_polling.RESPONSE_TIMEOUT_S
+                <= MAX_STALENESS_S + 1e-9
             )
 
 
-@pytest.mark.parametrize("many", [1.0, 9.0, 40.0, 200.0, 2000.0])
-@pytest.mark.parametrize("heard", [True, False])
-def test_where_lists_are_pushed_a_broken_watch_is_opened_within_the_grace(many, heard):
-    # Guards against calls spread over what two hundred dispatchers would need at one discovery: 19 s, in
-    # which workers that had left got work. The agent is on the dispatcher's own machine: asking it is free.
+@pytest.mark.parametrize("dispatchers", [1.0, 9.0, 40.0, 200.0, 2000.0])
+@pytest.mark.parametrize("received", [True, False])
+def test_with_pushed_lists_an_interrupted_watch_is_reopened_within_the_grace_period(dispatchers, received):
+    # Guards against spreading the calls as two hundred dispatchers at one discovery would have to: over 19 s,
+    # in which removed endpoints got requests. The agent is on the dispatcher's own host, so calls are cheap.
     for seed in range(50):
-        backoff = PollBackoff(Random(seed), many, True)
-        waits = [backoff.next_delay_s(WatchEnd.CUT, heard) for _ in range(20)]
-        assert max(waits) < 0.5 * CUT_MOST
-    # Silent, then called in vain once and again before the news counts.
-    assert list_polling.IDLE_TIMEOUT_S + list_polling.RESPONSE_TIMEOUT_S + 2.0 * max(waits) < TOLD_S
+        backoff = PollBackoff(Random(seed), dispatchers, True)
+        waits = [backoff.next_delay_s(WatchEnd.INTERRUPTED, received) for _ in range(20)]
+        assert max(waits) < 0.5 * GRACE_S
+    # There is time for the idle timeout, an unanswered call and another call within the bound.
+    assert list_polling.IDLE_TIMEOUT_S + list_polling.RESPONSE_TIMEOUT_S + 2.0 * max(waits) < MAX_STALENESS_S
 
 
-@pytest.mark.parametrize(("end", "span"), [(WatchEnd.CUT, 2.0), (WatchEnd.REFUSED, 3.8)])
-def test_forty_whose_watch_ends_at_one_moment_call_over_a_span(end, span):
-    # Guards against calls that fail by each other: more wait in turn than can be answered in time.
+@pytest.mark.parametrize(("end", "range_s"), [(WatchEnd.INTERRUPTED, 2.0), (WatchEnd.REFUSED, 3.8)])
+def test_forty_dispatchers_whose_watches_end_at_once_spread_their_calls(end, range_s):
+    # Guards against calls that make each other fail: more are queued than can be answered in time.
     waits = [
         PollBackoff(Random(seed), 40.0, end == WatchEnd.REFUSED).next_delay_s(end, True) for seed in range(40)
     ]
-    for part in range(4):
-        assert 4 <= sum(part * span / 4 <= wait < (part + 1) * span / 4 for wait in waits) <= 18
+    for quarter in range(4):
+        assert 4 <= sum(quarter * range_s / 4 <= wait < (quarter + 1) * range_s / 4 for wait in waits) <= 18
     assert max(PollBackoff(Random(seed), 3.0).next_delay_s(end, True) for seed in range(40)) < 0.5
 
 
-def test_an_agent_that_turned_calls_away_is_asked_in_a_span_from_then_on():
-    # Guards against a fleet that keeps an overbooked discovery so, each time that its watches are cut.
+def test_calls_to_an_agent_that_refused_one_are_spread_from_then_on():
+    # Guards against a fleet that keeps an overloaded discovery overloaded at every interruption.
     waits = []
     for seed in range(40):
         backoff = PollBackoff(Random(seed), 40.0, True)
         backoff.next_delay_s(WatchEnd.REFUSED, False)
-        waits.append(backoff.next_delay_s(WatchEnd.CUT, True))
+        waits.append(backoff.next_delay_s(WatchEnd.INTERRUPTED, True))
     assert max(waits) > 1.5
 
 
-def test_a_fleet_that_is_refused_asks_ever_more_seldom_and_not_in_step():
-    # Guards against a fleet that keeps an overbooked discovery so by asking: forty started at one moment.
+def test_a_refused_fleet_calls_less_and_less_often_and_not_simultaneously():
+    # Guards against a fleet of forty, started at once, that keeps an overloaded discovery overloaded.
     rows = []
-    most = TOLD_S - list_polling.RESPONSE_TIMEOUT_S
+    max_delay_s = MAX_STALENESS_S - list_polling.RESPONSE_TIMEOUT_S
     for seed in range(40):
         backoff = PollBackoff(Random(seed), 1.0, True)
         rows.append([backoff.next_delay_s(WatchEnd.REFUSED, False) for _ in range(9)])
     mean = [sum(row[k] for row in rows) / 40 for k in range(9)]
     assert all(later > 1.5 * before for before, later in zip(mean[:4], mean[1:5], strict=True))
-    assert max(map(max, rows)) <= most and min([min(row[5:]) for row in rows]) >= 0.5 * most
+    assert max(map(max, rows)) <= max_delay_s and min([min(row[5:]) for row in rows]) >= 0.5 * max_delay_s
     for k in range(9):
-        # In any tenth of the span in which they ask, well under half of the fleet.
+        # Well under half of the fleet calls within any tenth of the range.
         times = [sum(row[: k + 1]) for row in rows]
         tenth = (max(times) - min(times)) / 10
         assert max(sum(at <= other < at + tenth for other in times) for at in times) <= 16
 
 
-@pytest.mark.parametrize("end", [WatchEnd.CUT, WatchEnd.REFUSED])
-def test_what_is_turned_away_until_nothing_of_the_bound_is_left_is_asked_again_in_a_while(end):
-    # Guards against calls without a pause: the bound cannot be kept any more.
+@pytest.mark.parametrize("end", [WatchEnd.INTERRUPTED, WatchEnd.REFUSED])
+def test_calls_keep_a_backoff_once_the_staleness_bound_is_exceeded(end):
+    # Guards against calls without a delay once the bound cannot be met any more.
     backoff = PollBackoff(Random(3), 40.0, False)
     waits = [backoff.next_delay_s(end, False, 3.8 + 0.1 * call) for call in range(50)]
-    assert sum(waits) / 50 > 1.0 and max(waits) <= TOLD_S - list_polling.RESPONSE_TIMEOUT_S
+    assert sum(waits) / 50 > 1.0 and max(waits) <= MAX_STALENESS_S - list_polling.RESPONSE_TIMEOUT_S
 
 
-def test_a_very_large_fleet_that_is_refused_keeps_half_of_what_the_bound_leaves_as_jitter():
+def test_a_very_large_refused_fleet_uses_half_of_the_remaining_bound_as_jitter():
     backoff = PollBackoff(Random(3), 2000.0, True)
     waits = [backoff.next_delay_s(WatchEnd.REFUSED, False) for _ in range(200)]
-    assert max(waits) <= TOLD_S - list_polling.RESPONSE_TIMEOUT_S and max(waits) - min(waits) > 1.7
+    assert max(waits) <= MAX_STALENESS_S - list_polling.RESPONSE_TIMEOUT_S and max(waits) - min(waits) > 1.7
--- a/tests/net/test_outcomes.py
+++ b/tests/net/test_outcomes.py
@@ -1,4 +1,4 @@
-"""Endings that cross something still owed, on sockets, each held at a named point (docs/endings.md)."""
+"""Disconnects, drains and errors at critical points of a request, on sockets (docs/endings.md)."""
 
 import asyncio
 import json
@@ -10,7 +10,7 @@
 from support.fake_server import FakeServer
 from support.http_messages import ACCEPTED, chunk, read_message, request, response
 
-FULL = response(503, b"", "X-Rejected: 1")
+REJECTED = response(503, b"", "X-Rejected: 1")
 WAYS = {
     "close": lambda writer: writer.close(),
     "reset": lambda writer: writer.transport.abort(),
@@ -19,133 +19,133 @@
 
 
 def posts(rig):
-    """The workers that have seen a hand-off, and of which item."""
+    """Return the number of the endpoint and the request id of each attempt that an endpoint has received."""
     return [
         (number, call.headers["x-call-id"])
-        for number, worker in enumerate(rig.endpoints)
-        for call in worker.seen
+        for number, endpoint in enumerate(rig.endpoints)
+        for call in endpoint.seen
         if call.method == "POST"
     ]
 
 
-class Late:
-    """Connections to workers come up when they are told to."""
+class DelayedConnections:
+    """Holds back connections to endpoints until `allowed` is set; `started` counts them."""
 
     def __init__(self, rig):
         self.connector = rig.service.upstream.session.connector
-        self.connect, self.connector.connect = self.connector.connect, self._late
-        self.coming, self.up = 0, asyncio.Event()
+        self.connect, self.connector.connect = self.connector.connect, self._connect_later
+        self.started, self.allowed = 0, asyncio.Event()
 
-    async def _late(self, *what, **how):
-        self.coming += 1
-        connection = await self.connect(*what, **how)
-        await self.up.wait()
+    async def _connect_later(self, *arguments, **keywords):
+        self.started += 1
+        connection = await self.connect(*arguments, **keywords)
+        await self.allowed.wait()
         return connection
 
 
-async def serves(rig, wi):
-    """The next good request is served."""
+async def serve_request(rig, request_id):
+    """Send a request and assert that it is served."""
     reader, writer = await rig.connect()
-    writer.write(request("/look/1", wi=wi))
-    await until(lambda: wi in [seen for _, seen in posts(rig)])
-    (worker,) = [number for number, seen in posts(rig) if seen == wi]
-    await rig.callback(f"w{worker}", "done", wi, result="made")
+    writer.write(request("/look/1", wi=request_id))
+    await until(lambda: request_id in [seen for _, seen in posts(rig)])
+    (number,) = [number for number, seen in posts(rig) if seen == request_id]
+    await rig.callback(f"w{number}", "done", request_id, result="made")
     assert (await read_message(reader)).target == "200"
     writer.close()
 
 
 @pytest.mark.parametrize("way", WAYS)
 @on_loop
-async def test_a_client_that_goes_while_its_hand_off_connects_has_nothing_sent(way):
+async def test_client_that_disconnects_while_its_attempt_connects_has_nothing_sent(way):
     async with DispatcherRig(lambda call: ACCEPTED) as rig:
-        late = Late(rig)
+        delayed = DelayedConnections(rig)
         _, writer = await rig.connect()
         writer.write(request("/look/1"))
-        await until(lambda: late.coming)
+        await until(lambda: delayed.started)
         WAYS[way](writer)
         await until(lambda: not rig.frontend.waiting)
-        late.up.set()
+        delayed.allowed.set()
         await until(lambda: not rig.core.requests and not rig.service.upstream.tasks)
         assert not posts(rig)
-        await serves(rig, "b")
+        await serve_request(rig, "b")
         writer.close()
 
 
 @pytest.mark.parametrize("way", WAYS)
 @on_loop
-async def test_a_client_that_goes_between_two_attempts_has_no_further_one(way):
-    held = asyncio.Event()
+async def test_client_that_disconnects_between_two_attempts_has_no_retry(way):
+    may_reject = asyncio.Event()
 
-    def say(call):
-        return turned_away() if call.headers.get("x-call-id") == "a" and call.method == "POST" else ACCEPTED
+    def respond(call):
+        return rejection() if call.headers.get("x-call-id") == "a" and call.method == "POST" else ACCEPTED
 
-    async def turned_away():
-        await held.wait()
-        yield FULL
+    async def rejection():
+        await may_reject.wait()
+        yield REJECTED
 
-    async with DispatcherRig(say, say) as rig:
+    async with DispatcherRig(respond, respond) as rig:
         _, writer = await rig.connect()
         writer.write(request("/look/1"))
         await until(lambda: posts(rig))
         WAYS[way](writer)
-        # The worker's word comes in the moment in which the client is seen to have gone.
-        held.set()
+        # The rejection arrives at the moment when the disconnect is noticed.
+        may_reject.set()
         await until(lambda: not rig.core.requests and not rig.service.upstream.tasks)
         assert len(posts(rig)) == 1 and rig.core.counters["withdrawn"] == 1
-        await serves(rig, "b")
+        await serve_request(rig, "b")
         writer.close()
 
 
 @pytest.mark.parametrize("way", WAYS)
 @on_loop
-async def test_a_client_that_goes_while_its_item_is_held_has_nothing_sent(way):
+async def test_client_that_disconnects_while_its_request_is_queued_has_nothing_sent(way):
     async with DispatcherRig(lambda call: ACCEPTED) as rig:
-        brain = rig.core.router
-        await until(lambda: brain.endpoints.all)
-        brain.endpoints.all[0].other_slots = 9.0  # no available slot there
+        router = rig.core.router
+        await until(lambda: router.endpoints.all)
+        router.endpoints.all[0].other_slots = 9.0  # no available slot there
         _, writer = await rig.connect()
         writer.write(request("/look/1", b"x", "X-Call-Cost: 10000"))
-        await until(lambda: brain.queue.waiting)
+        await until(lambda: router.queue.waiting)
         WAYS[way](writer)
         await until(lambda: not rig.core.requests)
-        assert not brain.queue.waiting and not posts(rig)
-        brain.endpoints.all[0].other_slots = 0.0
-        await serves(rig, "b")
+        assert not router.queue.waiting and not posts(rig)
+        router.endpoints.all[0].other_slots = 0.0
+        await serve_request(rig, "b")
         writer.close()
 
 
 @on_loop
-async def test_an_answer_that_is_written_to_a_client_that_has_gone_harms_nobody():
+async def test_response_to_a_client_that_has_disconnected_causes_no_fault():
     async with DispatcherRig(lambda call: ACCEPTED) as rig:
         _, writer = await rig.connect()
         writer.write(request("/look/1"))
         await until(lambda: posts(rig))
-        job = rig.core.requests["a"].request
-        told = asyncio.create_task(rig.callback("w0", "done", result="made"))
-        await until(lambda: job.answer.done())
+        pending = rig.core.requests["a"].request
+        callback = asyncio.create_task(rig.callback("w0", "done", result="made"))
+        await until(lambda: pending.answer.done())
         writer.transport.abort()
-        assert (await told).target == "204"
+        assert (await callback).target == "204"
         await until(lambda: not rig.core.requests and not rig.frontend.waiting)
         assert not rig.core.counters["faults"]
-        await serves(rig, "b")
+        await serve_request(rig, "b")
 
 
 @pytest.mark.parametrize("phase", ["Terminating", "Gone"])
 @on_loop
-async def test_a_worker_that_is_to_drain_while_a_connection_comes_up_gets_nothing(phase):
-    # Guards against first bytes long after the decision: connections may take a second and a half.
+async def test_endpoint_that_starts_to_drain_during_the_connect_gets_no_attempt(phase):
+    # Guards against sending the first byte long after the decision: connecting may take 1.5 s.
     async with DispatcherRig(lambda call: ACCEPTED, lambda call: ACCEPTED) as rig:
-        late = Late(rig)
+        delayed = DelayedConnections(rig)
         reader, writer = await rig.connect()
         writer.write(request("/look/1"))
-        await until(lambda: late.coming == 1)
+        await until(lambda: delayed.started == 1)
         (attempt,) = rig.core.requests["a"].attempts
-        chosen = int(attempt.endpoint_id[1:])
-        gone = member(attempt.endpoint_id, rig.endpoints[chosen].address, phase)
-        rig.discovery.announce(members(gone, revision=2, complete=False))
+        selected = int(attempt.endpoint_id[1:])
+        draining = member(attempt.endpoint_id, rig.endpoints[selected].address, phase)
+        rig.discovery.announce(members(draining, revision=2, complete=False))
         await until(lambda: attempt.endpoint_id not in rig.core.endpoints.ready_ids)
-        late.up.set()
-        other = 1 - chosen
+        delayed.allowed.set()
+        other = 1 - selected
         await until(lambda: posts(rig))
         assert posts(rig) == [(other, "a")] and rig.core.counters["ho barred"] == 1
         await rig.callback(f"w{other}", "done", result="made")
@@ -154,19 +154,19 @@
 
 
 @on_loop
-async def test_idle_clients_fill_the_descriptors_while_discovery_is_down_and_it_is_heard_again(monkeypatch):
-    # What is reserved for discovery, workers and callbacks is not given to clients; idle ones give way.
+async def test_discovery_recovers_while_idle_clients_use_all_their_descriptors(monkeypatch):
+    # Clients do not get descriptors reserved for discovery, endpoints and callbacks; idle ones are evicted.
     monkeypatch.setattr("dunepulley.net.frontend.connection_table.MIN_IDLE_S", 0.0)
-    up = asyncio.Event()
+    discovery_up = asyncio.Event()
 
     async def watch(call):
-        if not up.is_set():
+        if not discovery_up.is_set():
             yield b""
-            await up.wait()
+            await discovery_up.wait()
             return
         yield b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-        gone = member("w0", rig.endpoints[0].address, "Terminating")
-        yield chunk(json.dumps(members(gone, revision=5, complete=False)).encode() + b"\n")
+        draining = member("w0", rig.endpoints[0].address, "Terminating")
+        yield chunk(json.dumps(members(draining, revision=5, complete=False)).encode() + b"\n")
         await asyncio.Event().wait()
 
     async with FakeServer(watch) as agent:
@@ -177,22 +177,22 @@
             server = rig.frontend.server
             idle = [await rig.connect() for _ in range(3 * server.limit)]
             await until(lambda: len(server.accepted) == server.limit == 36)
-            await serves(rig, "b")
-            up.set()
+            await serve_request(rig, "b")
+            discovery_up.set()
             await until(lambda: "w0" not in rig.core.endpoints.ready_ids)
-            await serves(rig, "c")
+            await serve_request(rig, "c")
             assert (1, "c") in posts(rig) and len(server.accepted) <= server.limit
             connector = rig.service.upstream.session.connector
-            # A sixteenth for operators, an eighth in exchanges, as many idle: room for discovery is left.
+            # A sixteenth for operators, an eighth in exchanges, as many idle: some are left for discovery.
             assert server.limit + 64 // 16 + 2 * connector.limit <= 64 - 8
             for _, writer in idle:
                 writer.close()
 
 
 @on_loop
-async def test_a_flood_that_sends_much_at_once_and_goes_has_little_sent_and_nothing_kept():
+async def test_many_requests_whose_clients_disconnect_are_not_sent_and_leave_no_state():
     async with DispatcherRig(*[lambda call: ACCEPTED] * 2, sockets=256) as rig:
-        late = Late(rig)
+        delayed = DelayedConnections(rig)
         writers = []
         for number in range(40):
             _, writer = await rig.connect()
@@ -202,10 +202,10 @@
         for writer in writers:
             writer.transport.abort()
         await until(lambda: not rig.frontend.waiting)
-        late.up.set()
+        delayed.allowed.set()
         await until(lambda: not rig.core.requests and not rig.service.upstream.tasks)
         assert not posts(rig) and not rig.core.router.lifecycle.requests
-        await serves(rig, "b")
+        await serve_request(rig, "b")
 
 
 @pytest.mark.parametrize(
@@ -217,43 +217,42 @@
     ],
 )
 @on_loop
-async def test_who_is_refused_reads_why_and_then_the_end_though_more_was_on_its_way(head, status):
-    # Guards against a close over unread bytes: it resets the connection, and the answer goes with it.
+async def test_rejected_client_reads_the_status_and_the_end_although_it_still_sends(head, status):
+    # Guards against closing with unread bytes: that resets the connection, and the response is lost.
     async with DispatcherRig(lambda call: ACCEPTED) as rig:
         reader, writer = await rig.connect()
         writer.write(head + b"x" * 1_000_000)
         assert (await read_message(reader)).target == status
         assert await reader.read() == b""
         await until(lambda: not rig.frontend.server.accepted)
-        await serves(rig, "b")
+        await serve_request(rig, "b")
         writer.close()
 
 
 @pytest.mark.parametrize(
-    ("busy", "raw", "unsent", "owes"),
+    ("is_busy", "raw", "buffered_bytes", "expected"),
     [(False, b"", 0, False), (True, b"", 0, True), (False, b"POST", 0, True), (False, b"", 9, True)],
 )
 @on_loop
-async def test_what_is_owed_at_the_end(busy, raw, unsent, owes):
+async def test_has_unsent_responses(is_busy, raw, buffered_bytes, expected):
     async with DispatcherRig(lambda call: ACCEPTED) as rig:
         _, writer = await rig.connect()
         await until(lambda: rig.frontend.server.accepted)
         (connection,) = rig.frontend.server.accepted
-        connection.is_busy, connection.buffer.received = busy, bytearray(raw)
-        connection.transport.get_write_buffer_size = lambda: unsent
-        assert rig.frontend.server.has_unsent_responses() is owes
+        connection.is_busy, connection.buffer.received = is_busy, bytearray(raw)
+        connection.transport.get_write_buffer_size = lambda: buffered_bytes
+        assert rig.frontend.server.has_unsent_responses() is expected
         writer.close()
 
 
 @on_loop
-async def test_a_silent_worker_and_a_second_answer_end_nothing_twice():
-    # A second answer behind the first, some moments later, is no answer to the next hand-off.
-    def say(call):
+async def test_second_response_to_one_attempt_is_not_taken_for_the_next_one():
+    def respond(call):
         if call.method == "DELETE":
             return response(204)
         return ACCEPTED + response(500) if call.headers["x-call-id"] == "a" else ACCEPTED
 
-    async with DispatcherRig(say) as rig:
-        for wi in ("a", "b", "c"):
-            await serves(rig, wi)
+    async with DispatcherRig(respond) as rig:
+        for request_id in ("a", "b", "c"):
+            await serve_request(rig, request_id)
         assert not rig.core.counters["ho erred"] and rig.core.counters["ho finished"] == 3
--- a/tests/net/test_request_table.py
+++ b/tests/net/test_request_table.py
@@ -13,28 +13,28 @@
     return PendingRequest(RequestArrived(request_id, "look", 1000.0), 0.0, "/look/1", {}, b"x")
 
 
-def start_attempt(item, endpoint_id="w0"):
+def start_attempt(open_request, endpoint_id="w0"):
     attempt = UpstreamAttempt(
-        item.request, len(item.attempts), endpoint_id, "127.0.0.1:1", 1000.0, 0.0, 500.0
+        open_request.request, len(open_request.attempts), endpoint_id, "127.0.0.1:1", 1000.0, 0.0, 500.0
     )
-    item.attempts.append(attempt)
-    item.attempts_in_flight += 1
+    open_request.attempts.append(attempt)
+    open_request.attempts_in_flight += 1
     return attempt
 
 
-def open_request(table, request_id="a"):
+def add_request(table, request_id="a"):
     table.add(pending(request_id))
     return table[request_id]
 
 
 @on_loop
-async def test_a_request_stays_until_it_is_answered_and_its_attempts_have_ended():
+async def test_a_request_is_removed_once_it_is_answered_and_its_attempts_have_ended():
     table = RequestTable()
-    item = open_request(table)
-    first, second = start_attempt(item), start_attempt(item, "w1")
+    open_request = add_request(table)
+    first, second = start_attempt(open_request), start_attempt(open_request, "w1")
     assert table.end_attempt(first, AttemptResult.COMPLETED, b"made")
     table.remove_finished()
-    assert "a" in table and item.request.answer.result() == Answer(AttemptEnded, b"made")
+    assert "a" in table and open_request.request.answer.result() == Answer(AttemptEnded, b"made")
     assert table.end_attempt(second, AttemptResult.CANCELLED)
     assert "a" in table, "removed before the commands of the batch"
     table.remove_finished()
@@ -42,9 +42,9 @@
 
 
 @on_loop
-async def test_an_attempt_ends_once_and_its_timer_with_it():
+async def test_an_attempt_ends_once_and_cancels_its_timer():
     table = RequestTable()
-    attempt = start_attempt(open_request(table))
+    attempt = start_attempt(add_request(table))
 
     class Timer:
         cancelled = 0
@@ -62,42 +62,46 @@
 @on_loop
 async def test_a_request_is_answered_once():
     table = RequestTable()
-    item = open_request(table)
+    open_request = add_request(table)
     assert table.answer("a", Answer(Reject, retry_after_ms=250.0))
     assert not table.answer("a", Answer(Fail)) and not table.answer("b", Answer(Fail))
-    assert not table.disconnect(item.request)
-    assert item.request.answer.result() == Answer(Reject, retry_after_ms=250.0)
+    assert not table.disconnect(open_request.request)
+    assert open_request.request.answer.result() == Answer(Reject, retry_after_ms=250.0)
 
 
 @on_loop
-async def test_a_disconnect_counts_for_the_request_that_holds_the_id_now():
+async def test_a_disconnect_affects_only_the_request_that_has_the_id_now():
     table = RequestTable()
-    former = pending()
-    item = open_request(table)
-    assert not table.disconnect(former) and not item.answered
-    assert table.disconnect(item.request) and not table.disconnect(item.request)
+    previous = pending()
+    open_request = add_request(table)
+    assert not table.disconnect(previous) and not open_request.answered
+    assert table.disconnect(open_request.request) and not table.disconnect(open_request.request)
     table.remove_finished()
     assert not table
 
 
 @on_loop
-async def test_a_request_that_took_over_an_id_is_not_removed_with_the_former_one():
+async def test_a_request_that_reuses_an_id_is_not_removed_with_the_previous_one():
     table = RequestTable()
-    former = open_request(table)
-    table.disconnect(former.request)
-    item = open_request(table)
+    previous = add_request(table)
+    table.disconnect(previous.request)
+    open_request = add_request(table)
     table.remove_finished()
-    assert table.get("a") is item
+    assert table.get("a") is open_request
 
 
 @on_loop
 async def test_attempts_are_found_by_their_endpoint():
-    item = open_request(RequestTable())
-    first, other, last = start_attempt(item), start_attempt(item, "w1"), start_attempt(item)
-    assert item.attempts_at("w0") == [first, last] and item.attempts_at("w1") == [other]
-    assert item.attempts_at("w2") == [] and not item.is_in_flight_at("w2")
+    open_request = add_request(RequestTable())
+    first, other, last = (
+        start_attempt(open_request),
+        start_attempt(open_request, "w1"),
+        start_attempt(open_request),
+    )
+    assert open_request.attempts_at("w0") == [first, last] and open_request.attempts_at("w1") == [other]
+    assert open_request.attempts_at("w2") == [] and not open_request.is_in_flight_at("w2")
     other.result = AttemptResult.ERRORED
-    assert item.is_in_flight_at("w0") and not item.is_in_flight_at("w1")
+    assert open_request.is_in_flight_at("w0") and not open_request.is_in_flight_at("w1")
 
 
 @pytest.mark.parametrize(
@@ -109,8 +113,8 @@
     ],
 )
 @on_loop
-async def test_a_failure_is_certain_only_if_no_earlier_attempt_there_may_be_meant(state, result):
-    earlier = start_attempt(open_request(RequestTable()))
+async def test_a_failure_callback_is_ambiguous_after_an_attempt_that_may_have_run(state, result):
+    earlier = start_attempt(add_request(RequestTable()))
     assert result_of_callback(state, []) == result
     earlier.result = AttemptResult.NOT_SENT
     assert result_of_callback(state, [earlier]) == result
--- a/tests/net/test_retries_failing_at_once.py
+++ b/tests/net/test_retries_failing_at_once.py
@@ -1,4 +1,4 @@
-"""Retries and hedged requests that fail at once."""
+"""Requests all of whose attempts, with retries and hedges, fail immediately."""
 
 import asyncio
 
@@ -13,95 +13,98 @@
 from dunepulley.net.messages import CallbackReceived
 
 REJECTED = response(503, b"", "X-Rejected: 1")
-# How all attempts fail at once: by class how many there may be, and the final answer.
-MOST_ATTEMPTS = 5
-FAILS = {
+# How all attempts fail; by target, how many attempts there may be, and the final status.
+MAX_ATTEMPTS = 5
+FAILURES = {
     "refused": (None, {LOOK: (0, "503"), STORE: (0, "503"), PAY: (0, "503")}),
-    "reset": (ABORT, {LOOK: (MOST_ATTEMPTS, "503"), STORE: (MOST_ATTEMPTS, "500"), PAY: (1, "500")}),
-    "rejected": (REJECTED, {target: (MOST_ATTEMPTS, "503") for target in (LOOK, STORE, PAY)}),
+    "reset": (ABORT, {LOOK: (MAX_ATTEMPTS, "503"), STORE: (MAX_ATTEMPTS, "500"), PAY: (1, "500")}),
+    "rejected": (REJECTED, {target: (MAX_ATTEMPTS, "503") for target in (LOOK, STORE, PAY)}),
     "rejected, then reset": (
         ABORT,
-        {LOOK: (MOST_ATTEMPTS, "503"), STORE: (MOST_ATTEMPTS, "500"), PAY: (2, "500")},
+        {LOOK: (MAX_ATTEMPTS, "503"), STORE: (MAX_ATTEMPTS, "500"), PAY: (2, "500")},
     ),
 }
 
 
-class OneAnswer:
-    """A client of one request, which gets one final answer in time and no more."""
+class SingleRequest:
+    """Sends one request, and asserts that it gets exactly one final response, in time.
 
-    def __init__(self, rig, target, budget):
-        self.rig, self.target, self.budget = rig, target, budget
+    `timeout_ms` is the request's timeout. Calling it returns the status.
+    """
+
+    def __init__(self, rig, target, timeout_ms):
+        self.rig, self.target, self.timeout_ms = rig, target, timeout_ms
 
     async def __call__(self):
         loop = asyncio.get_running_loop()
         async with ClientSocket(self.rig.service.port) as client:
-            begun = loop.time()
-            await client.send(request(self.target, b"x", KEY, budget=self.budget))
-            verdict = (await client.ending()).verdict
-            assert loop.time() - begun <= self.budget / 1000.0 + 0.5
+            sent_s = loop.time()
+            await client.send(request(self.target, b"x", KEY, budget=self.timeout_ms))
+            status = (await client.ending()).verdict
+            assert loop.time() - sent_s <= self.timeout_ms / 1000.0 + 0.5
             await all_ended(self.rig)
             assert not client.left and not self.rig.core.counters["faults"]
-            return verdict
+            return status
 
 
 @pytest.mark.parametrize("target", [LOOK, STORE, PAY])
-@pytest.mark.parametrize("way", FAILS)
+@pytest.mark.parametrize("way", FAILURES)
 @on_loop
-async def test_retries_that_fail_at_once_end_in_one_answer_and_repeat_nothing_unsafe(way, target):
-    reply, ends = FAILS[way]
-    most, verdict = ends[target]
+async def test_failing_retries_lead_to_one_response_and_no_unsafe_retry(way, target):
+    reply, outcomes = FAILURES[way]
+    max_attempts, status = outcomes[target]
 
-    def say(call):
+    def respond(call):
         if call.method == "DELETE":
             return response(204)
         return REJECTED if way == "rejected, then reset" and len(attempts(rig)) == 1 else reply
 
-    async with DispatcherRig(say, say, **DUE_LATE) as rig:
+    async with DispatcherRig(respond, respond, **DUE_LATE) as rig:
         if reply is None:
             for endpoint in rig.endpoints:
                 endpoint.server.close()
-        assert await OneAnswer(rig, target, 1000)() == verdict
-        # What may not be repeated is sent just so often as it surely never ran, and once more.
-        assert len(attempts(rig)) <= most and (most > 2 or len(attempts(rig)) == most)
+        assert await SingleRequest(rig, target, 1000)() == status
+        # A non-idempotent request is retried only after attempts that certainly never ran.
+        assert len(attempts(rig)) <= max_attempts and (max_attempts > 2 or len(attempts(rig)) == max_attempts)
 
 
 @pytest.mark.parametrize("target", [LOOK, STORE])
 @pytest.mark.parametrize("way", ["refused", "reset", "rejected"])
 @on_loop
-async def test_an_attempt_and_its_hedge_that_fail_at_one_moment_end_in_one_answer(way, target):
-    reply, _ = FAILS[way]
-    out, doubles = set(), []
+async def test_attempt_and_hedge_failing_at_the_same_time_lead_to_one_response(way, target):
+    reply, _ = FAILURES[way]
+    in_flight, duplicates = set(), []
 
-    def lose(number):
-        """The attempt that an endpoint has taken is lost, or handed back."""
+    def fail_attempt(number):
+        """Send the callback that the accepted attempt at an endpoint was lost or returned."""
         state = "returned" if way == "rejected" else "lost"
         rig.core.put(CallbackReceived("a", f"w{number}", state, 0.0, b"", None))
-        out.discard(number)
+        in_flight.discard(number)
 
-    def say(number):
-        def said(call):
+    def responder(number):
+        def respond(call):
             if call.method == "DELETE":
-                out.discard(number)
+                in_flight.discard(number)
                 return response(204)
-            if number in out:
-                doubles.append(number)  # a second attempt at an endpoint at which one is out
+            if number in in_flight:
+                duplicates.append(number)  # a second attempt at an endpoint that already runs one
             if len(attempts(rig)) == 1:
-                out.add(number)
+                in_flight.add(number)
                 if way == "refused":
                     rig.endpoints[1 - number].server.close()
                 return ACCEPTED
-            for other in list(out):
-                lose(other)
+            for other in list(in_flight):
+                fail_attempt(other)
             return reply or REJECTED
 
-        return said
+        return respond
 
-    more = {"categories__0__dueTimeMs": 1000.0, "categories__1__dueTimeMs": 1000.0}
-    async with DispatcherRig(say(0), say(1), **more) as rig:
-        answered = asyncio.create_task(OneAnswer(rig, target, 1500)())
+    settings = {"categories__0__dueTimeMs": 1000.0, "categories__1__dueTimeMs": 1000.0}
+    async with DispatcherRig(responder(0), responder(1), **settings) as rig:
+        request_task = asyncio.create_task(SingleRequest(rig, target, 1500)())
         if way == "refused":
             await until(lambda: rig.core.counters["ho sent"] >= 2)
-            lose(*out)
-        verdict = await answered
-        assert verdict in ("500", "503") if target == STORE else verdict == "503"
-        assert rig.core.counters["ho sent"] >= 2 and len(attempts(rig)) <= MOST_ATTEMPTS and not doubles
+            fail_attempt(*in_flight)
+        status = await request_task
+        assert status in ("500", "503") if target == STORE else status == "503"
+        assert rig.core.counters["ho sent"] >= 2 and len(attempts(rig)) <= MAX_ATTEMPTS and not duplicates
--- a/tests/net/test_short_timeouts.py
+++ b/tests/net/test_short_timeouts.py
@@ -1,4 +1,4 @@
-"""Requests with very little time left: no attempt begins once it is over, and the answer comes in time."""
+"""Requests with very short timeouts: no attempt starts after the timeout, and the response is in time."""
 
 import asyncio
 import time
@@ -15,105 +15,105 @@
 from dunepulley.net.messages import RequestReceived
 
 
-class NoteAttempts:
-    """Notes how long after its request had come each attempt began, in ms."""
+class AttemptRecorder:
+    """Records how long after its request was received each attempt started, in ms."""
 
     def __init__(self, rig):
-        self.core, self.begun = rig.core, []
+        self.core, self.delays_ms = rig.core, []
         self.may_begin = rig.core.may_begin
-        rig.service.upstream.may_begin = self._ask
+        rig.service.upstream.may_begin = self._may_begin
 
-    def _ask(self, attempt):
-        begins = self.may_begin(attempt)
-        if begins:
-            self.begun.append(self.core.clock() - attempt.request.received_ms)
-        return begins
+    def _may_begin(self, attempt):
+        may_begin = self.may_begin(attempt)
+        if may_begin:
+            self.delays_ms.append(self.core.clock() - attempt.request.received_ms)
+        return may_begin
 
 
-@pytest.mark.parametrize("kept", [False, True])
-@pytest.mark.parametrize("budget", [1, 12, 20])
+@pytest.mark.parametrize("reuses_connection", [False, True])
+@pytest.mark.parametrize("timeout_ms", [1, 12, 20])
 @pytest.mark.parametrize("target", ["/look/1", "/pay/1"])
 @on_loop
-async def test_no_attempt_begins_for_a_request_whose_time_was_over_when_it_was_read(
-    target, budget, kept, monkeypatch
+async def test_no_attempt_starts_for_a_request_that_had_timed_out_when_it_was_read(
+    target, timeout_ms, reuses_connection, monkeypatch
 ):
-    # Guards against a floor of 1 ms that counts from when the held-up process went on, not from the request.
-    def say(call):
+    # Guards against a minimum timeout of 1 ms that counts from the end of a pause, not from the request.
+    def respond(call):
         return response(204) if call.method == "DELETE" else ACCEPTED
 
     async with (
-        DispatcherRig(say, familyInfo__tellsStart=False) as rig,
+        DispatcherRig(respond, familyInfo__tellsStart=False) as rig,
         ClientSocket(rig.service.port) as client,
     ):
-        if kept:
+        if reuses_connection:
             await client.send(request("/look/1", wi="first"))
             await until(lambda: attempts(rig, "first"))
             await rig.callback("w0", "done", "first", result="made")
             assert (await client.ending()).kept
         with monkeypatch.context() as patches:
-            stepped, notes = SteppedMonotonicClock(patches), NoteAttempts(rig)
-            read = rig.core.queue.put_nowait
+            stepped, recorder = SteppedMonotonicClock(patches), AttemptRecorder(rig)
+            put_nowait = rig.core.queue.put_nowait
 
-            def held_back(message):
+            def put_after_pause(message):
                 if isinstance(message, RequestReceived):
                     stepped.step(HOLD_UP_S)
-                read(message)
+                put_nowait(message)
 
-            rig.core.queue.put_nowait = held_back
-            await client.send(request(target, b"x", KEY, "X-Call-Cost: 100", budget=budget))
+            rig.core.queue.put_nowait = put_after_pause
+            await client.send(request(target, b"x", KEY, "X-Call-Cost: 100", budget=timeout_ms))
             await until_true(lambda: "a" in rig.frontend.waiting)
-            answered = rig.frontend.waiting["a"].answer
-            barred = rig.core.counters
-            await until_true(lambda: notes.begun or barred["ho barred"] or answered.done())
-            begun = list(notes.begun)
+            answer = rig.frontend.waiting["a"].answer
+            counters = rig.core.counters
+            await until_true(lambda: recorder.delays_ms or counters["ho barred"] or answer.done())
+            delays_ms = list(recorder.delays_ms)
         assert (await client.ending()).verdict in ("500", "503")
         await all_ended(rig)
-        assert not begun
+        assert not delays_ms
 
 
-# How long after the end of its time a request may have its final response, in ms.
+# How long after its timeout a request may get its final response, in ms.
 LATE_MS = 500.0
-HELD_UP = ["", "late connection", "unread", "decision"]
+DELAYS = ["", "late connection", "unread", "decision"]
 
 
 @pytest.mark.parametrize("target", [LOOK, PAY])
-@pytest.mark.parametrize("held_up", HELD_UP)
-@pytest.mark.parametrize("budget", [1, 5, 20])
+@pytest.mark.parametrize("delay", DELAYS)
+@pytest.mark.parametrize("timeout_ms", [1, 5, 20])
 @on_loop
-async def test_with_very_little_time_left_the_answer_comes_in_time(budget, held_up, target):
-    # The endpoints drop it without a word.
-    def say(call):
+async def test_request_with_a_very_short_timeout_is_answered_in_time(timeout_ms, delay, target):
+    # The endpoints never respond to an attempt.
+    def respond(call):
         return response(204) if call.method == "DELETE" else SILENT
 
-    async with DispatcherRig(say, say) as rig, ClientSocket(rig.service.port) as client:
+    async with DispatcherRig(respond, respond) as rig, ClientSocket(rig.service.port) as client:
         loop = asyncio.get_running_loop()
-        late = LateConnections(rig) if held_up == "late connection" else None
-        if held_up == "decision":
+        late = LateConnections(rig) if delay == "late connection" else None
+        if delay == "decision":
             handle = rig.core.router.handle
 
-            def held(now, events):
+            def handle_after_pause(now, events):
                 rig.core.router.handle = handle
                 time.sleep(HOLD_UP_S)
                 return handle(now, events)
 
-            rig.core.router.handle = held
-        begun = loop.time()
-        # So little work that it may yet be done in time.
-        await client.send(request(target, b"x", KEY, "X-Call-Cost: 100", budget=budget))
-        if held_up == "unread":
-            read = rig.core.queue.put_nowait
+            rig.core.router.handle = handle_after_pause
+        sent_s = loop.time()
+        # The expected work is so short that it could still be done in time.
+        await client.send(request(target, b"x", KEY, "X-Call-Cost: 100", budget=timeout_ms))
+        if delay == "unread":
+            put_nowait = rig.core.queue.put_nowait
 
-            def held_back(message):
+            def put_after_pause(message):
                 time.sleep(HOLD_UP_S if isinstance(message, RequestReceived) else 0.0)
-                read(message)
+                put_nowait(message)
 
-            rig.core.queue.put_nowait = held_back
+            rig.core.queue.put_nowait = put_after_pause
         ending = await client.ending()
-        took = (loop.time() - begun) * 1000.0
+        duration_ms = (loop.time() - sent_s) * 1000.0
         if late is not None:
             await asyncio.sleep(0.03)
             late.up.set()
         await all_ended(rig)
         assert ending.verdict in ("500", "503")
-        assert took <= budget + LATE_MS
+        assert duration_ms <= timeout_ms + LATE_MS
         assert len(attempts(rig)) <= 1
--- a/tests/net/test_shutdown.py
+++ b/tests/net/test_shutdown.py
@@ -1,4 +1,4 @@
-"""A shutdown that SIGKILL cuts short: what was read has its final answer, whatever else happens."""
+"""A shutdown that SIGKILL may end: every request that was read gets its response before."""
 
 import asyncio
 import contextlib
@@ -17,48 +17,48 @@
 from dunepulley.net.messages import Answer
 from dunepulley.routing.events import AttemptEnded
 
-# SIGKILL comes no sooner than the longest deadline and this after SIGTERM.
-SPARE_S = 0.7
-# A final answer may come so much later than its time.
-LATE_S = 0.5
+# SIGKILL follows SIGTERM no sooner than after the longest request timeout and this margin.
+KILL_MARGIN_S = 0.7
+# A response may be this much later than the timeout of its request.
+TOLERANCE_S = 0.5
 CLIENTS = 6
-DEADLINES_S = [0.3, 1.0, 3.0]
+TIMEOUTS_S = [0.3, 1.0, 3.0]
 
 
 class Traffic:
-    """Clients that send on, over connections that are kept, until nobody listens any more."""
+    """Clients that keep sending requests, over persistent connections, until nobody listens any more."""
 
-    def __init__(self, node, deadline):
-        self.node, self.deadline = node, deadline
+    def __init__(self, node, timeout_s):
+        self.node, self.timeout_s = node, timeout_s
         self.numbers = count()
-        self.endings = []  # of each request: what became of it, and after how long
+        self.results = []  # verdict and duration in s of each request
         self.loop = asyncio.get_running_loop()
 
     def request(self):
-        budget = int(1000 * self.deadline)
-        return request("/look/1", b"x" * 100, wi=f"r{next(self.numbers)}", budget=budget)
+        timeout_ms = int(1000 * self.timeout_s)
+        return request("/look/1", b"x" * 100, wi=f"r{next(self.numbers)}", budget=timeout_ms)
 
     async def client(self):
-        """One request after another; over a new connection where the one before has ended."""
+        """Send one request after another, over a new connection if the previous one was closed."""
         with contextlib.suppress(ConnectionRefusedError, ConnectionResetError):
             while True:
                 async with ClientSocket(self.node.port) as connection:
-                    while await self.one(connection):
+                    while await self.send_request(connection):
                         pass
 
-    async def one(self, connection):
-        """One request; whether its connection is kept."""
-        began = self.loop.time()
+    async def send_request(self, connection):
+        """Send one request; return whether its connection stays open."""
+        started_s = self.loop.time()
         await connection.send(self.request())
         ending = await connection.ending()
-        self.note(ending, began)
+        self.record(ending, started_s)
         return ending.kept
 
-    def note(self, ending, began):
-        self.endings.append((ending.verdict, self.loop.time() - began))
+    def record(self, ending, started_s):
+        self.results.append((ending.verdict, self.loop.time() - started_s))
 
-    async def half(self, rest):
-        """A request of which the rest comes after a while, or a byte at a time and never whole."""
+    async def send_partial(self, rest):
+        """Send an incomplete request, and let `rest` send its remaining bytes."""
         raw = self.request()
         async with ClientSocket(self.node.port) as connection:
             await connection.send(raw[:-60])
@@ -70,137 +70,139 @@
                 ended.cancel()
 
     async def pipeline(self):
-        """Two requests at once, which no client may: the answer to the first, then a refusal."""
+        """Send two requests at once, which is not allowed: the first is answered, the second rejected."""
         async with ClientSocket(self.node.port) as connection:
             await connection.send(self.request() + self.request())
             return [(await connection.ending()).verdict for _ in range(2)]
 
 
-async def soon(connection, rest, ended):
-    """The rest of a half comes soon."""
+async def send_rest_soon(connection, rest, ended):
+    """Send the rest of a request after a short delay."""
     await asyncio.sleep(0.1)
     await connection.send(rest)
 
 
-async def never(connection, rest, ended):
-    """The rest of a half comes byte for byte, so slowly that it is never whole."""
+async def send_rest_slowly(connection, rest, ended):
+    """Send the rest of a request byte by byte, so slowly that it is never complete."""
     for byte in rest[:-1]:
         if ended.done() or not await connection.send(bytes([byte])):
             return
         await asyncio.wait([ended], timeout=0.1)
 
 
-def hangs(call):
-    """An endpoint that takes every other request and says nothing to the others, and is heard no more."""
+def accept_every_other(call):
+    """An endpoint that accepts every other request, never responds to the rest, and sends no callbacks."""
     return ACCEPTED if int(call.headers.get("x-call-id", "r0")[1:]) % 2 else SILENT
 
 
-async def end(node, deadline):
-    """SIGTERM, and SIGKILL as early as it may come, if the process has not ended well before."""
+async def terminate(node, timeout_s):
+    """Send SIGTERM, and SIGKILL at the earliest allowed time; the process must have ended before."""
     node.process.terminate()
     ended = asyncio.create_task(node.process.wait())
-    await asyncio.wait([ended], timeout=deadline + SPARE_S)
+    await asyncio.wait([ended], timeout=timeout_s + KILL_MARGIN_S)
     if not ended.done():
         node.process.kill()
     assert await ended == 0
 
 
-def check(traffic):
-    """Each request was answered in time, unless it was not read at all."""
-    verdicts = {verdict for verdict, _ in traffic.endings}
-    assert LOST not in verdicts and len(traffic.endings) >= 2 * CLIENTS
-    assert all([took <= traffic.deadline + LATE_S for _, took in traffic.endings])
-    # Served is nobody: a request is refused or has failed.
+def assert_all_answered(traffic):
+    """Assert that each request was answered in time, unless it was not read at all."""
+    verdicts = {verdict for verdict, _ in traffic.results}
+    assert LOST not in verdicts and len(traffic.results) >= 2 * CLIENTS
+    assert all([duration_s <= traffic.timeout_s + TOLERANCE_S for _, duration_s in traffic.results])
+    # No request can succeed: each is rejected or fails.
     assert verdicts <= {"500", "503", NOT_READ} and {"500", "503"} & verdicts
 
 
-async def shutdown(folder, deadline):
-    """A shutdown while endpoints hang and clients send on."""
+async def shutdown(folder, timeout_s):
+    """Shut a dispatcher down while endpoints hang and clients keep sending."""
     async with (
-        FakeServer(hangs) as worker,
+        FakeServer(accept_every_other) as worker,
         FakeServer(lambda call: SILENT) as watch,
-        Process(folder, worker, watch, expiryUs=int(1e6 * deadline)) as node,
+        Process(folder, worker, watch, expiryUs=int(1e6 * timeout_s)) as node,
     ):
-        traffic = Traffic(node, deadline)
-        sending = [asyncio.create_task(traffic.client()) for _ in range(CLIENTS)]
-        halves = [asyncio.create_task(traffic.half(rest)) for rest in (soon, never)]
+        traffic = Traffic(node, timeout_s)
+        clients = [asyncio.create_task(traffic.client()) for _ in range(CLIENTS)]
+        partial_requests = [
+            asyncio.create_task(traffic.send_partial(rest)) for rest in (send_rest_soon, send_rest_slowly)
+        ]
         await until(lambda: len(worker.seen) >= CLIENTS)
-        ending = asyncio.create_task(end(node, deadline))
+        ending = asyncio.create_task(terminate(node, timeout_s))
         first, second = await traffic.pipeline()
         assert first in ("500", "503") and second == "400"
         await ending
-        await asyncio.wait_for(asyncio.gather(*sending, *halves), 2.0)
-        check(traffic)
-        finished, slow = [half.result().verdict for half in halves]
+        await asyncio.wait_for(asyncio.gather(*clients, *partial_requests), 2.0)
+        assert_all_answered(traffic)
+        finished, slow = [task.result().verdict for task in partial_requests]
         assert finished in ("500", "503") and slow in ("408", "503")
 
 
 @on_loop
-async def test_nothing_is_owed_at_sigkill_though_endpoints_hang_and_clients_send_on(tmp_path):
+async def test_every_request_is_answered_before_sigkill_though_endpoints_hang(tmp_path):
     async with asyncio.TaskGroup() as cases:
-        for deadline in DEADLINES_S:
-            folder = tmp_path / str(deadline)
+        for timeout_s in TIMEOUTS_S:
+            folder = tmp_path / str(timeout_s)
             folder.mkdir()
-            cases.create_task(shutdown(folder, deadline))
+            cases.create_task(shutdown(folder, timeout_s))
 
 
 @on_loop
-async def test_the_parent_of_a_hot_restart_owes_nothing_at_sigkill_either(tmp_path):
-    deadline = DEADLINES_S[0]
+async def test_the_parent_of_a_hot_restart_answers_every_request_before_sigkill(tmp_path):
+    timeout_s = TIMEOUTS_S[0]
     async with (
-        FakeServer(hangs) as worker,
+        FakeServer(accept_every_other) as worker,
         FakeServer(lambda call: SILENT) as watch,
     ):
-        parent = Process(tmp_path, worker, watch, expiryUs=int(1e6 * deadline))
+        parent = Process(tmp_path, worker, watch, expiryUs=int(1e6 * timeout_s))
         parent.environment = parent.environment | {"TMPDIR": str(tmp_path)}
         child = copy(parent)
         async with parent:
-            traffic = Traffic(parent, deadline)
-            sending = [asyncio.create_task(traffic.client()) for _ in range(CLIENTS)]
+            traffic = Traffic(parent, timeout_s)
+            clients = [asyncio.create_task(traffic.client()) for _ in range(CLIENTS)]
             await until(lambda: len(worker.seen) >= CLIENTS)
             async with child:
                 while b"listens at" not in await child.process.stderr.readline():
                     pass
-                await end(parent, deadline)
-                before = len(traffic.endings)
-                # The clients that it had are served by the other process now.
-                await until(lambda: len(traffic.endings) >= before + CLIENTS)
-                await end(child, deadline)
-                await asyncio.wait_for(asyncio.gather(*sending), 2.0)
-        check(traffic)
+                await terminate(parent, timeout_s)
+                before = len(traffic.results)
+                # The parent's clients are served by the child now.
+                await until(lambda: len(traffic.results) >= before + CLIENTS)
+                await terminate(child, timeout_s)
+                await asyncio.wait_for(asyncio.gather(*clients), 2.0)
+        assert_all_answered(traffic)
 
 
-def brief():
-    """A dispatcher whose deadlines are short, so that its shutdown is, too."""
+def rig_with_short_timeouts():
+    """A dispatcher with short request timeouts, so that its shutdown is short, too."""
     return DispatcherRig(
         lambda call: SILENT, **{f"categories__{number}__expiryMs": 300.0 for number in range(3)}
     )
 
 
 @on_loop
-async def test_a_connection_that_was_being_accepted_at_the_end_outlives_nothing():
-    # Guards against a request that is read once nobody is left to answer it.
-    async with brief() as rig:
+async def test_close_waits_for_a_connection_that_is_being_accepted():
+    # Guards against reading a request after the server that would answer it was closed.
+    async with rig_with_short_timeouts() as rig:
         loop = asyncio.get_running_loop()
-        accepted, goes_on, made = asyncio.Event(), asyncio.Event(), asyncio.Event()
-        finish = loop.connect_accepted_socket
+        accepted, may_continue, connected = asyncio.Event(), asyncio.Event(), asyncio.Event()
+        connect = loop.connect_accepted_socket
 
-        async def late(*what, **how):
+        async def delayed_connect(*args, **kwargs):
             accepted.set()
-            await goes_on.wait()
+            await may_continue.wait()
             try:
-                return await finish(*what, **how)
+                return await connect(*args, **kwargs)
             finally:
-                made.set()
+                connected.set()
 
-        loop.connect_accepted_socket = late
+        loop.connect_accepted_socket = delayed_connect
         async with ClientSocket(rig.service.port) as client:
             await client.send(request("/look/1"))
             await accepted.wait()
             closing = asyncio.create_task(rig.frontend.close())
             await until(lambda: rig.frontend.listener.socket is None)
-            goes_on.set()
-            await made.wait()
+            may_continue.set()
+            await connected.wait()
             assert not closing.done()
             await closing
             assert not rig.frontend.server.accepted
@@ -208,15 +210,18 @@
 
 
 @on_loop
-async def test_an_answer_that_is_read_slowly_at_the_end_is_waited_for():
-    async with brief() as rig, ClientSocket(rig.service.port, receive_buffer=4096) as client:
+async def test_shutdown_waits_for_a_response_that_is_read_slowly():
+    async with (
+        rig_with_short_timeouts() as rig,
+        ClientSocket(rig.service.port, receive_buffer=4096) as client,
+    ):
         await until(lambda: rig.frontend.server.accepted)
         (connection,) = rig.frontend.server.accepted
         transport = connection.transport
         transport.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_SNDBUF, 4096)
         await client.send(request("/look/1"))
         await until(lambda: "a" in rig.frontend.waiting)
-        # Less than what has the library wait for the client, and more than the sockets hold.
+        # Small enough that aiohttp does not wait for the client, but more than the sockets buffer.
         body = b"x" * 60_000
         rig.frontend.waiting["a"].settle(Answer(AttemptEnded, body))
         await until(transport.get_write_buffer_size)
--- a/tests/net/test_upstream.py
+++ b/tests/net/test_upstream.py
@@ -1,4 +1,4 @@
-"""What is sent to endpoints, and what a result proves."""
+"""What is sent to endpoints, and how responses and failures map to attempt results."""
 
 import asyncio
 import os
@@ -38,14 +38,14 @@
     ],
 )
 @on_loop
-async def test_what_an_answer_proves(reply, result):
-    def say(call):
-        return reply if reply in (ABORT, CLOSE) or reply.endswith(b"\r\n\r\n") else partly()
+async def test_result_of_a_response(reply, result):
+    def respond(call):
+        return reply if reply in (ABORT, CLOSE) or reply.endswith(b"\r\n\r\n") else partial_response()
 
-    async def partly():
+    async def partial_response():
         yield reply
 
-    async with FakeServer(say) as peer, ProbingSender() as sender:
+    async with FakeServer(respond) as peer, ProbingSender() as sender:
         sender.send(peer.address)
         assert await sender.over() == result
         await until(lambda: not sender.upstream.tasks)
@@ -53,34 +53,34 @@
 
 
 @on_loop
-async def test_refused_and_never_up_prove_that_it_never_ran():
+async def test_refused_connection_and_connect_timeout_fail_to_connect():
     async with ProbingSender() as sender:
-        full = socket.socket()
-        full.bind(("127.0.0.1", 0))
-        closed = full.getsockname()
-        sender.send(f"127.0.0.1:{closed[1]}")
+        listener = socket.socket()
+        listener.bind(("127.0.0.1", 0))
+        address = listener.getsockname()
+        sender.send(f"127.0.0.1:{address[1]}")
         assert await sender.over() == AttemptResult.CONNECT_FAILED
-        # A machine that is cut off: its queue of connections is full and nobody takes one.
-        full.listen(0)
-        others = [socket.socket() for _ in range(4)]
-        for other in others:
-            other.setblocking(False)
-            other.connect_ex(closed)
+        # An unreachable machine: the listener's queue is full, and no connection is accepted.
+        listener.listen(0)
+        clients = [socket.socket() for _ in range(4)]
+        for client in clients:
+            client.setblocking(False)
+            client.connect_ex(address)
         sender.told.clear()
-        sender.send(f"127.0.0.1:{closed[1]}")
+        sender.send(f"127.0.0.1:{address[1]}")
         assert await sender.over() == AttemptResult.CONNECT_FAILED
-        for each in (full, *others):
+        for each in (listener, *clients):
             each.close()
 
 
 @on_loop
-async def test_broken_before_the_last_byte_is_written_never_ran():
-    # The peer takes a little of the request, then dies: far more than buffers hold is left.
-    async def die(reader, writer):
+async def test_connection_broken_before_the_last_byte_was_sent_never_ran():
+    # The endpoint resets the connection after 100 bytes; the buffers cannot hold the remaining ones.
+    async def reset_after_100_bytes(reader, writer):
         await reader.readexactly(100)
         writer.transport.abort()
 
-    server = await asyncio.start_server(die, "127.0.0.1", 0, limit=1024)
+    server = await asyncio.start_server(reset_after_100_bytes, "127.0.0.1", 0, limit=1024)
     async with ProbingSender() as sender:
         attempt = sender.send(f"127.0.0.1:{server.sockets[0].getsockname()[1]}", body=bytes(64_000_000))
         assert await sender.over() == AttemptResult.CONNECT_FAILED
@@ -88,35 +88,35 @@
     server.close()
 
 
-class Writer:
-    """A connection that breaks while a request is written to it."""
+class FakeWriter:
+    """A writer, and its transport, whose connection breaks during the write if `breaks` is set."""
 
     def __init__(self, breaks):
         self.transport = self
-        self.broken = False
+        self.is_broken = False
         self.breaks = breaks
 
     def set_write_buffer_limits(self, high):
         assert high == 0
 
     async def write(self, data, drain):
-        self.broken = self.breaks
+        self.is_broken = self.breaks
 
     def get_write_buffer_size(self):
         return 0
 
     def is_closing(self):
-        return self.broken
+        return self.is_broken
 
 
 @pytest.mark.parametrize("breaks", [True, False])
-def test_a_connection_that_breaks_under_the_write_took_nothing(breaks):
+def test_request_is_not_fully_written_if_its_connection_breaks_during_the_write(breaks):
     async def write():
-        job = PendingRequest(RequestArrived("a", "look", 1.0), 0.0, "/look/1", {}, b"x")
-        attempt = UpstreamAttempt(job, 0, "w", "127.0.0.1:1", 1.0, 0.0)
+        pending = PendingRequest(RequestArrived("a", "look", 1.0), 0.0, "/look/1", {}, b"x")
+        attempt = UpstreamAttempt(pending, 0, "w", "127.0.0.1:1", 1.0, 0.0)
         counters = Counters()
-        await AttemptBody(attempt, counters, lambda attempt: True).write_with_length(Writer(breaks), None)
-        # What was cut before its last byte counts as sent nowhere.
+        await AttemptBody(attempt, counters, lambda attempt: True).write_with_length(FakeWriter(breaks), None)
+        # Only a request whose last byte was written is counted as sent.
         assert (
             attempt.write_started
             and attempt.fully_written is not breaks
@@ -128,8 +128,8 @@
 
 @pytest.mark.parametrize("reply", [ABORT, CLOSE])
 @on_loop
-async def test_a_kept_connection_that_ends_under_a_hand_off_makes_no_second_copy(reply):
-    # A library that sends again by itself would make one: the worker must see each hand-off once.
+async def test_attempt_on_a_stale_connection_is_not_resent(reply):
+    # Guards against automatic retries by aiohttp: an endpoint must receive each attempt once.
     async with (
         FakeServer(lambda call: ACCEPTED if len(peer.seen) == 1 else reply) as peer,
         ProbingSender() as sender,
@@ -141,31 +141,35 @@
         assert [call.connection for call in peer.seen] == [1, 1] and peer.connections == 1
 
 
-@pytest.mark.parametrize("kept", [False, True])
-@pytest.mark.parametrize("heard", [False, True])
+@pytest.mark.parametrize("reuses_connection", [False, True])
+@pytest.mark.parametrize("has_callback", [False, True])
 @on_loop
-async def test_a_hand_off_into_silence_is_given_up_soon_unless_the_worker_tells_of_it(kept, heard):
-    def say(call):
+async def test_attempt_without_a_response_is_cancelled_soon_unless_a_callback_was_received(
+    reuses_connection, has_callback
+):
+    def respond(call):
         if call.method == "DELETE":
             return response(204)
-        return ACCEPTED if kept and len(peer.seen) == 1 else SILENT
+        return ACCEPTED if reuses_connection and len(peer.seen) == 1 else SILENT
 
-    async with FakeServer(say) as peer, ProbingSender() as sender:
-        if kept:
+    async with FakeServer(respond) as peer, ProbingSender() as sender:
+        if reuses_connection:
             sender.send(peer.address)
             await sender.accepted()
         attempt = sender.send(peer.address, limit=60000.0)
-        attempt.callback_received = heard
+        attempt.callback_received = has_callback
         await until(lambda: not sender.upstream.tasks)
-        result = AttemptResult.STALE_CONNECTION if kept else AttemptResult.CONNECTION_LOST
-        assert [over.result for over in sender.told] == ([] if heard else [result])
-        # It may have been taken: the worker is told before the item goes anywhere else.
-        assert [call.method for call in peer.seen][kept:] == (["POST"] if heard else ["POST", "DELETE"])
+        result = AttemptResult.STALE_CONNECTION if reuses_connection else AttemptResult.CONNECTION_LOST
+        assert [finished.result for finished in sender.told] == ([] if has_callback else [result])
+        # The endpoint may have accepted it: it is cancelled there before the router retries elsewhere.
+        assert [call.method for call in peer.seen][reuses_connection:] == (
+            ["POST"] if has_callback else ["POST", "DELETE"]
+        )
 
 
 @on_loop
-async def test_no_idle_time_at_all_does_not_keep_the_process_busy():
-    # Guards against a look for idle connections that sets itself off again at once, for ever.
+async def test_idle_timeout_of_zero_does_not_busy_loop():
+    # Guards against a sweep of idle connections that reschedules itself without a delay.
     async with (
         FakeServer(lambda call: ACCEPTED) as peer,
         ProbingSender(**{"policyLimits.connIdleMs": 0.0}) as sender,
@@ -176,7 +180,7 @@
 
 
 @on_loop
-async def test_connections_are_kept_and_closed_before_the_worker_does():
+async def test_connections_are_reused_and_closed_before_the_endpoint_closes_them():
     async with (
         FakeServer(lambda call: ACCEPTED) as peer,
         ProbingSender(**{"policyLimits.connIdleMs": 700.0}) as sender,
@@ -187,13 +191,13 @@
             await sender.accepted(count)
             assert (len(peer.seen), peer.connections) == (count, new)
             if count == 2:
-                idle_since = loop.time()
+                idle_since_s = loop.time()
                 await until(lambda: peer.closed)
-                assert 0.2 < loop.time() - idle_since < 0.7
+                assert 0.2 < loop.time() - idle_since_s < 0.7
 
 
 @on_loop
-async def test_a_silent_worker_is_given_up_and_its_socket_not_used_again():
+async def test_cancelled_attempt_without_a_response_closes_its_connection():
     async with (
         FakeServer(lambda call: SILENT if len(peer.seen) == 1 else ACCEPTED) as peer,
         ProbingSender() as sender,
@@ -201,35 +205,35 @@
         attempt = sender.send(peer.address)
         await until(lambda: attempt.fully_written)
         sender.upstream.cancel_attempt(attempt, notify=True)
-        # Its 202 may have been on the way: the worker is told as well.
+        # The 202 may be in transit: the attempt is also cancelled at the endpoint.
         assert await sender.over() == AttemptResult.CANCELLED
         assert [call.method + call.target for call in peer.seen] == ["POST/look/1", "DELETE/jobs/a"]
         await until(lambda: peer.closed)
         assert [call.connection for call in peer.seen] == [1, 2]
 
 
-@pytest.mark.parametrize("kept", [False, True])
+@pytest.mark.parametrize("reuses_connection", [False, True])
 @on_loop
-async def test_what_may_not_begin_any_more_never_goes_out_and_blames_nobody(kept):
-    # A connection comes up late, or is waited for: what changed meanwhile is asked before the first byte.
+async def test_attempt_that_may_not_start_any_more_is_not_sent_and_counts_against_nobody(reuses_connection):
+    # After a wait for a connection, the check before the first byte notices what has changed meanwhile.
     async with FakeServer(lambda call: ACCEPTED) as peer, ProbingSender() as sender:
-        if kept:
+        if reuses_connection:
             sender.send(peer.address, target="/look/first")
             await sender.accepted()
         connector = sender.upstream.session.connector
-        connect, comes_up, asked = connector.connect, asyncio.Event(), asyncio.Event()
+        connect, allowed, connected = connector.connect, asyncio.Event(), asyncio.Event()
 
-        async def late(*what, **how):
-            connection = await connect(*what, **how)
-            asked.set()
-            await comes_up.wait()
+        async def connect_late(*arguments, **keywords):
+            connection = await connect(*arguments, **keywords)
+            connected.set()
+            await allowed.wait()
             return connection
 
-        connector.connect = late
+        connector.connect = connect_late
         sender.send(peer.address, target="/look/late")
-        await asked.wait()
+        await connected.wait()
         sender.begins = False
-        comes_up.set()
+        allowed.set()
         assert await sender.over() == AttemptResult.NOT_SENT
         sender.begins = True
         sender.told.clear()
@@ -240,8 +244,8 @@
 
 
 @on_loop
-async def test_one_silent_worker_leaves_room_for_the_others():
-    # 64 descriptors: eight exchanges at once, two of them with one worker.
+async def test_one_unresponsive_endpoint_leaves_connections_for_the_others():
+    # With 64 descriptors there are at most 8 exchanges at once, 2 of them with one endpoint.
     async with (
         FakeServer(lambda call: SILENT) as silent,
         FakeServer(lambda call: ACCEPTED) as peer,
@@ -251,14 +255,14 @@
         await until(lambda: len(silent.seen) == 2)
         sender.send(peer.address)
         await until(lambda: sender.counters["ho accepted"] == 1)
-        # The others don't wait for long: by then the worker may have been told to drain.
+        # The other attempts soon stop waiting for a connection: the endpoint may start to drain meanwhile.
         await until(lambda: len(sender.told) == 10)
-        assert {over.result for over in sender.told} == {AttemptResult.CONNECT_FAILED}
+        assert {finished.result for finished in sender.told} == {AttemptResult.CONNECT_FAILED}
         assert sum([attempt.write_started for attempt in attempts]) == 2 == len(silent.seen)
 
 
 @on_loop
-async def test_a_hand_off_given_up_before_its_first_byte_is_never_sent():
+async def test_attempt_cancelled_before_its_first_byte_is_not_sent():
     async with FakeServer(lambda call: ACCEPTED) as peer, ProbingSender() as sender:
         sender.upstream.cancel_attempt(sender.send(peer.address), notify=True)
         assert await sender.over() == AttemptResult.NOT_SENT
@@ -268,21 +272,21 @@
 
 @pytest.mark.parametrize("steps", range(12))
 @on_loop
-async def test_what_is_told_as_not_sent_never_goes_out(steps):
-    # The library writes the body in a task of its own: given up at any moment, the word must hold.
+async def test_attempt_reported_as_not_sent_is_never_sent(steps):
+    # aiohttp writes the body in a task of its own: the result must be right for a cancellation at any moment.
     async with FakeServer(lambda call: ACCEPTED) as peer, ProbingSender() as sender:
         sender.send(peer.address, target="/look/first")
-        await sender.accepted()  # from now on there is a connection, and writing comes at once
+        await sender.accepted()  # the next attempt reuses this connection, so that it is written at once
         attempt = sender.send(peer.address, target="/look/second")
         for _ in range(steps):
             await asyncio.sleep(0)
-        touched = attempt.write_started
+        write_started = attempt.write_started
         sender.upstream.cancel_attempt(attempt, notify=True)
-        assert await sender.over() == (AttemptResult.CANCELLED if touched else AttemptResult.NOT_SENT)
+        assert await sender.over() == (AttemptResult.CANCELLED if write_started else AttemptResult.NOT_SENT)
         sender.told.clear()
         sender.send(peer.address, target="/look/third")
         await until(lambda: peer.seen[-1].target == "/look/third" and not sender.upstream.tasks)
-        assert ("/look/second" in [call.target for call in peer.seen]) <= touched
+        assert ("/look/second" in [call.target for call in peer.seen]) <= write_started
 
 
 @pytest.mark.parametrize(
@@ -290,47 +294,47 @@
     ["/look/1?q=a%2Fb&&x=%zz", "/look/%E4%BD%A0//..//b?", "/look/a+b;c=d?#e", "/look", "/look/%20?a=b?c"],
 )
 @on_loop
-async def test_what_goes_on_unchanged(target):
+async def test_target_body_and_headers_are_sent_unchanged(target):
     body = bytes(range(256)) * 250
     headers = {"Idempotency-Key": "k-1", "Content-Type": "a/b"}
     clock = asyncio.get_running_loop().time
     async with FakeServer(lambda call: ACCEPTED) as peer, ProbingSender() as sender:
-        begun = clock()
+        started_s = clock()
         sender.send(peer.address, target, body, 480.9, headers)
         await sender.accepted()
-        passed = (clock() - begun) * 1000.0
+        passed_ms = (clock() - started_s) * 1000.0
         call = peer.seen[0]
         assert (call.method, call.target, call.body) == ("POST", target, body)
         names = ("x-call-id", "idempotency-key", "content-type")
         assert [call.headers[name] for name in names] == ["a", "k-1", "a/b"]
-        assert int(480.9 - passed) <= int(call.headers["x-budget-ms"]) <= 480
+        assert int(480.9 - passed_ms) <= int(call.headers["x-budget-ms"]) <= 480
 
 
 @on_loop
-async def test_a_connection_that_comes_up_late_carries_the_time_that_is_left_by_then():
-    # Guards against a worker that is told to work for longer than the client waits.
+async def test_timeout_header_is_computed_after_a_slow_connect():
+    # Guards against an endpoint that works for longer than the client waits.
     clock = asyncio.get_running_loop().time
     async with FakeServer(lambda call: ACCEPTED) as peer, ProbingSender() as sender:
         connector = sender.upstream.session.connector
-        connect, comes_up = connector.connect, asyncio.Event()
+        connect, allowed = connector.connect, asyncio.Event()
 
-        async def late(*what, **how):
-            await comes_up.wait()
-            return await connect(*what, **how)
+        async def connect_late(*arguments, **keywords):
+            await allowed.wait()
+            return await connect(*arguments, **keywords)
 
-        connector.connect = late
-        begun = clock()
+        connector.connect = connect_late
+        started_s = clock()
         sender.send(peer.address, limit=3000.0)
         await asyncio.sleep(0.2)
-        least = (clock() - begun) * 1000.0
-        comes_up.set()
+        min_ms = (clock() - started_s) * 1000.0
+        allowed.set()
         await sender.accepted()
-        most = (clock() - begun) * 1000.0
-        assert int(3000.0 - most) <= int(peer.seen[0].headers["x-budget-ms"]) <= 3000.0 - least
+        max_ms = (clock() - started_s) * 1000.0
+        assert int(3000.0 - max_ms) <= int(peer.seen[0].headers["x-budget-ms"]) <= 3000.0 - min_ms
 
 
 @on_loop
-async def test_an_empty_body_is_a_whole_hand_off():
+async def test_attempt_with_an_empty_body_is_fully_written():
     async with FakeServer(lambda call: ACCEPTED) as peer, ProbingSender() as sender:
         attempt = sender.send(peer.address, body=b"")
         await sender.accepted()
@@ -338,17 +342,17 @@
 
 
 @on_loop
-async def test_without_a_descriptor_nothing_is_sent_and_no_worker_blamed():
+async def test_without_free_descriptors_nothing_is_sent_and_no_endpoint_is_blamed():
     async with FakeServer(lambda call: ACCEPTED) as peer, ProbingSender() as sender:
         soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-        spare = os.open(os.devnull, os.O_RDONLY)
+        first_free = os.open(os.devnull, os.O_RDONLY)
         try:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (spare, hard))
-            os.close(spare)
-            held = []
-            while len(held) < 1000:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (first_free, hard))
+            os.close(first_free)
+            descriptors = []
+            while len(descriptors) < 1000:
                 try:
-                    held.append(os.open(os.devnull, os.O_RDONLY))
+                    descriptors.append(os.open(os.devnull, os.O_RDONLY))
                 except OSError:
                     break
             sender.send(peer.address)
@@ -358,12 +362,12 @@
             assert await sender.over() == AttemptResult.NOT_SENT
         finally:
             resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-            for descriptor in held:
+            for descriptor in descriptors:
                 os.close(descriptor)
 
 
 @pytest.mark.parametrize(
-    ("how", "reply", "path", "result", "report"),
+    ("report_source", "reply", "path", "result", "report"),
     [
         (
             "probe",
@@ -387,10 +391,13 @@
     ],
 )
 @on_loop
-async def test_probes(how, reply, path, result, report):
-    async with FakeServer(lambda call: reply) as peer, ProbingSender(**{"reporting.how": how}) as sender:
+async def test_health_check(report_source, reply, path, result, report):
+    async with (
+        FakeServer(lambda call: reply) as peer,
+        ProbingSender(**{"reporting.how": report_source}) as sender,
+    ):
         sender.upstream.check_health("w", peer.address)
-        sender.upstream.check_health("w", peer.address)  # one question at a time
+        sender.upstream.check_health("w", peer.address)  # ignored, because a check is in progress
         assert await sender.over() == result
         assert sender.told[0].load_report == report and [call.target for call in peer.seen] == [path]
 
@@ -399,12 +406,12 @@
     ("text", "report"),
     [("", None), ("{", None), ("[1]", {}), ("inflight=7,util=0.61,odd", {"held": 7.0, "busy": 0.61})],
 )
-def test_reports(text, report):
+def test_parse_health_report(text, report):
     assert parse_health_report(text) == report
 
 
 @on_loop
-async def test_a_fault_in_sending_still_ends_the_hand_off():
+async def test_attempt_whose_task_raises_still_ends():
     async with ProbingSender() as sender:
         sender.send("no address")
         assert await sender.over() == AttemptResult.NOT_SENT
--- a/tests/net/test_upstream_cancel.py
+++ b/tests/net/test_upstream_cancel.py
@@ -1,4 +1,4 @@
-"""Attempts that are canceled at their endpoint, or may not be, where one copy is allowed."""
+"""Cancelling attempts at their endpoint, with and without hedging, and where cancellation is not allowed."""
 
 import asyncio
 
@@ -10,13 +10,13 @@
 
 from dunepulley.routing.events import AttemptResult
 
-ONE_COPY = {"policyLimits.secondCopies": False}
+NO_HEDGING = {"policyLimits.secondCopies": False}
 
 
 @pytest.mark.parametrize(
     ("replies", "result"),
     [
-        # The library's own connections, one after the other: kept and silent, broken, then one that answers.
+        # The replies over successive connections: a stale one, failing ones, then one that responds.
         ([SILENT, response(204)], AttemptResult.CANCELLED),
         ([ABORT, CLOSE, ABORT, response(404)], AttemptResult.CANCELLED),
         ([ABORT] * 99, AttemptResult.CANCEL_UNCONFIRMED),
@@ -24,12 +24,12 @@
     ],
 )
 @on_loop
-async def test_where_there_is_one_copy_it_is_taken_back_only_once_the_worker_has_heard(replies, result):
-    # Guards against a second copy beside one that was told as taken back though nobody had heard of it.
-    todo = iter(replies)
+async def test_without_hedging_an_attempt_is_cancelled_only_once_the_endpoint_confirms(replies, result):
+    # Guards against a retry beside an attempt that was reported as cancelled but still runs.
+    remaining = iter(replies)
     async with (
-        FakeServer(lambda call: ACCEPTED if call.method == "POST" else next(todo)) as peer,
-        ProbingSender(**ONE_COPY) as sender,
+        FakeServer(lambda call: ACCEPTED if call.method == "POST" else next(remaining)) as peer,
+        ProbingSender(**NO_HEDGING) as sender,
     ):
         attempt = sender.send(peer.address)
         await sender.accepted()
@@ -41,7 +41,7 @@
 
 @pytest.mark.parametrize("reply", [ABORT, CLOSE])
 @pytest.mark.parametrize(
-    ("told", "result"),
+    ("cancel_reply", "result"),
     [
         (response(204), AttemptResult.CONNECTION_LOST),
         ("gone", AttemptResult.CONNECTION_LOST),
@@ -49,29 +49,29 @@
     ],
 )
 @on_loop
-async def test_where_there_is_one_copy_a_202_that_was_lost_is_taken_back(reply, told, result):
-    # The worker may have taken what its connection broke under: it is told before the item goes elsewhere.
-    def say(call):
-        if told == "gone":
+async def test_without_hedging_an_attempt_whose_202_may_be_lost_is_cancelled(reply, cancel_reply, result):
+    # The endpoint may have accepted the attempt: it is cancelled there before the router retries elsewhere.
+    def respond(call):
+        if cancel_reply == "gone":
             peer.server.close()
-        return reply if call.method == "POST" else told
+        return reply if call.method == "POST" else cancel_reply
 
-    async with FakeServer(say) as peer, ProbingSender(**ONE_COPY) as sender:
+    async with FakeServer(respond) as peer, ProbingSender(**NO_HEDGING) as sender:
         sender.send(peer.address)
         assert await sender.over() == result
         methods = [call.method for call in peer.seen]
-        assert methods[0] == "POST" and set(methods[1:]) == (set() if told == "gone" else {"DELETE"})
+        assert methods[0] == "POST" and set(methods[1:]) == (set() if cancel_reply == "gone" else {"DELETE"})
 
 
 @pytest.mark.parametrize("reply", [ABORT, CLOSE, SILENT])
 @on_loop
-async def test_taking_back_is_told_again_if_the_connection_breaks_under_it(reply):
-    def say(call):
+async def test_cancellation_is_sent_again_if_its_connection_fails(reply):
+    def respond(call):
         if call.method == "POST":
             return ACCEPTED
         return response(204) if call.connection > 1 else reply
 
-    async with FakeServer(say) as peer, ProbingSender() as sender:
+    async with FakeServer(respond) as peer, ProbingSender() as sender:
         attempt = sender.send(peer.address)
         await sender.accepted()
         sender.upstream.cancel_attempt(attempt, notify=True)
@@ -81,21 +81,21 @@
 
 
 @on_loop
-async def test_a_connection_that_breaks_after_the_202_takes_nothing_back():
-    async def partly():
+async def test_connection_that_breaks_after_the_202_does_not_cancel_the_attempt():
+    async def truncated_response():
         yield b"HTTP/1.1 202 Accepted\r\nContent-Length: 10\r\n\r\nhalf"
 
-    async with FakeServer(lambda call: partly()) as peer, ProbingSender() as sender:
+    async with FakeServer(lambda call: truncated_response()) as peer, ProbingSender() as sender:
         sender.send(peer.address)
         await sender.accepted()
 
 
-async def silent_after(head):
+async def hang_after(head):
     yield head
     await asyncio.Event().wait()
 
 
-async def without_end(head, at_once):
+async def endless_response(head, at_once):
     yield head
     for _ in range(1000 if at_once else 10**9):
         yield chunk(bytes(1000))
@@ -103,19 +103,21 @@
     await asyncio.Event().wait()
 
 
-HALF = b"HTTP/1.1 %d Any\r\nContent-Length: 9\r\n\r\nhalf"
+INCOMPLETE = b"HTTP/1.1 %d Any\r\nContent-Length: 9\r\n\r\nhalf"
 ENDLESS = {
-    "silent after the head": lambda status: silent_after(HALF % status),
-    "much at once": lambda status: without_end(CHUNKED_HEAD.replace(b"200", b"%d" % status), True),
-    "a little at a time": lambda status: without_end(CHUNKED_HEAD.replace(b"200", b"%d" % status), False),
+    "hangs after the head": lambda status: hang_after(INCOMPLETE % status),
+    "much at once": lambda status: endless_response(CHUNKED_HEAD.replace(b"200", b"%d" % status), True),
+    "a little at a time": lambda status: endless_response(
+        CHUNKED_HEAD.replace(b"200", b"%d" % status), False
+    ),
 }
 
 
-@pytest.mark.parametrize("rest", ENDLESS)
+@pytest.mark.parametrize("body", ENDLESS)
 @on_loop
-async def test_an_answer_without_end_after_the_202_takes_nothing_back_and_holds_nothing(rest):
-    # Guards against taking back what a worker has taken, and against exchanges and memory held for nothing.
-    async with FakeServer(lambda call: ENDLESS[rest](202)) as peer, ProbingSender(**ONE_COPY) as sender:
+async def test_endless_body_of_a_202_neither_cancels_the_attempt_nor_keeps_the_connection(body):
+    # Guards against cancelling an accepted attempt, and against exchanges and memory in use for no purpose.
+    async with FakeServer(lambda call: ENDLESS[body](202)) as peer, ProbingSender(**NO_HEDGING) as sender:
         sender.send(peer.address, limit=60000.0)
         await sender.accepted()
         assert [call.method for call in peer.seen] == [
@@ -123,18 +125,18 @@
         ] and not sender.upstream.session.connector._conns
 
 
-@pytest.mark.parametrize("rest", ENDLESS)
+@pytest.mark.parametrize("body", ENDLESS)
 @on_loop
-async def test_an_answer_without_end_elsewhere_proves_no_more_than_its_head(rest):
-    def say(call):
-        return ACCEPTED if call.method == "POST" and call.target == "/look/1" else ENDLESS[rest](200)
+async def test_endless_body_of_other_responses_is_abandoned(body):
+    def respond(call):
+        return ACCEPTED if call.method == "POST" and call.target == "/look/1" else ENDLESS[body](200)
 
-    async with FakeServer(say) as peer, ProbingSender() as sender:
+    async with FakeServer(respond) as peer, ProbingSender() as sender:
         attempt = sender.send(peer.address)
         await sender.accepted()
         sender.upstream.cancel_attempt(attempt, notify=True)
         assert await sender.over() == AttemptResult.CANCELLED
-        assert [call.method for call in peer.seen] == ["POST", "DELETE"]  # it has heard, by its status
+        assert [call.method for call in peer.seen] == ["POST", "DELETE"]  # confirmed by its status
         sender.told.clear()
         sender.send(peer.address, target="/look/2", limit=60000.0)
         assert await sender.over() == AttemptResult.CONNECTION_LOST
@@ -148,37 +150,37 @@
 
 
 @on_loop
-async def test_a_hand_off_given_up_while_its_worker_is_told_already_is_told_once_and_ends_by_that():
-    # Guards against an end as unheard, which answers the item, though the worker hears in that moment.
-    hears = asyncio.Event()
+async def test_attempt_cancelled_during_its_cancellation_call_is_cancelled_only_once():
+    # Guards against reporting the cancellation as unconfirmed, which ends the request, while it is confirmed.
+    may_confirm = asyncio.Event()
 
-    async def held():
-        await hears.wait()
+    async def confirmation():
+        await may_confirm.wait()
         yield response(204)
 
-    def say(call):
-        return ABORT if call.method == "POST" else held()
+    def respond(call):
+        return ABORT if call.method == "POST" else confirmation()
 
-    async with FakeServer(say) as peer, ProbingSender(**ONE_COPY) as sender:
+    async with FakeServer(respond) as peer, ProbingSender(**NO_HEDGING) as sender:
         attempt = sender.send(peer.address)
         await until(lambda: len(peer.seen) == 2)
         sender.upstream.cancel_attempt(attempt, notify=True)
-        hears.set()
+        may_confirm.set()
         await until(lambda: not sender.upstream.tasks)
-        assert [over.result for over in sender.told] == [AttemptResult.CONNECTION_LOST]
+        assert [finished.result for finished in sender.told] == [AttemptResult.CONNECTION_LOST]
         assert [call.method for call in peer.seen] == ["POST", "DELETE"]
 
 
 @pytest.mark.parametrize(
-    ("copies", "result"), [(True, AttemptResult.CONNECTION_LOST), (False, AttemptResult.CANCEL_UNCONFIRMED)]
+    ("hedging", "result"), [(True, AttemptResult.CONNECTION_LOST), (False, AttemptResult.CANCEL_UNCONFIRMED)]
 )
 @pytest.mark.parametrize("reply", [ABORT, SILENT])
 @on_loop
-async def test_where_nothing_may_be_taken_back_no_worker_is_told(reply, copies, result):
-    # Guards against a call that the settings forbid; what may run on has no second copy beside it.
-    settings = {"policyLimits.cancel": False, "policyLimits.secondCopies": copies}
+async def test_no_cancellation_call_is_sent_where_settings_forbid_it(reply, hedging, result):
+    # Guards against a forbidden call, and without hedging, against a retry beside an attempt that may run on.
+    settings = {"policyLimits.cancel": False, "policyLimits.secondCopies": hedging}
     async with FakeServer(lambda call: reply) as peer, ProbingSender(**settings) as sender:
         sender.send(peer.address)
         await until(lambda: sender.told and not sender.upstream.tasks)
-        assert [over.result for over in sender.told] == [result]
+        assert [finished.result for finished in sender.told] == [result]
         assert [call.method for call in peer.seen] == ["POST"]
--- a/tests/net/test_zone_statistics.py
+++ b/tests/net/test_zone_statistics.py
@@ -1,4 +1,4 @@
-"""What a dispatcher tells agents of the zones: unanswered attempts, bounds, and the wire form."""
+"""The zone statistics for agents: unanswered attempts, the limit on zones, and the wire form."""
 
 import orjson
 import pytest
@@ -44,18 +44,18 @@
     ],
 )
 @on_loop
-async def test_an_attempt_is_unanswered_if_nobody_was_reached(result, now, counts):
+async def test_an_attempt_is_unanswered_if_it_may_not_have_reached_the_endpoint(result, now, counts):
     assert counts_of(ended_attempt(result), now) == counts
 
 
-@pytest.mark.parametrize("heard", ["response_started", "callback_received"])
+@pytest.mark.parametrize("flag", ["response_started", "callback_received"])
 @on_loop
-async def test_an_attempt_that_was_heard_of_is_answered_however_long_it_took(heard):
-    assert counts_of(ended_attempt(AttemptResult.CANCELLED, **{heard: True}), 9e9) == (1, 0)
+async def test_an_attempt_with_a_response_or_callback_counts_as_answered(flag):
+    assert counts_of(ended_attempt(AttemptResult.CANCELLED, **{flag: True}), 9e9) == (1, 0)
 
 
 @on_loop
-async def test_zones_beyond_the_bound_are_not_counted():
+async def test_zones_beyond_the_limit_are_not_counted():
     statistics = ZoneStatistics()
     for number in range(MAX_ZONES + 5):
         statistics.count_attempt(f"z{number}", ended_attempt(AttemptResult.COMPLETED), 0.0)
@@ -64,11 +64,11 @@
     assert statistics.attempts_by_zone["z0"].sent == 2
 
 
-@pytest.mark.parametrize("how", ["alone", "with a follower"])
+@pytest.mark.parametrize("mode", ["alone", "with a follower"])
 @on_loop
-async def test_the_report_has_the_form_that_agents_read(how):
+async def test_the_report_has_the_form_that_agents_read(mode):
     statistics, endpoints = ZoneStatistics(), EndpointView(Clock(), lambda update: None)
-    if how == "with a follower":
+    if mode == "with a follower":
         endpoints.follower = Follower("n0", "a")
     statistics.count_attempt("a", ended_attempt(AttemptResult.CONNECT_FAILED), 0.0)
     statistics.unserved_requests, statistics.expected_work_ms = 2, 1.5
