--- a/dunepulley/__init__.py
+++ b/dunepulley/__init__.py
@@ -3,5 +3,5 @@
 import signal
 
 VERSION = "0.2.0"
-# Signals with which operators ask a dispatcher for something else than its end: reload, print the counters.
+# The signals for operators that do not end a dispatcher: reload its configuration, print its counters.
 OPERATOR_SIGNALS = (signal.SIGHUP, signal.SIGUSR1)
--- a/dunepulley/__main__.py
+++ b/dunepulley/__main__.py
@@ -1,7 +1,7 @@
 """`python -m dunepulley`: the command line.
 
-Modules are imported where their sub-command runs: many dispatchers start at one moment, each with a part of
-a core, and what serving does not need costs each of them time and memory.
+Modules are imported when their sub-command runs: many dispatchers may start at the same time with a fraction
+of a core each, and every unneeded import costs each of them time and memory.
 """
 
 from __future__ import annotations
@@ -16,32 +16,32 @@
 from dunepulley import OPERATOR_SIGNALS, VERSION
 
 EXIT_OK, EXIT_UNUSABLE = 0, 2
-# Most objects live for one request: looking for cycles after every few hundred finds none.
+# Most objects live for one request and are in no cycles, so the garbage collector runs rarely.
 GC_THRESHOLDS = (50_000, 20, 100)
 
 
 def main(arguments: list[str] | None = None) -> int:
     """Run one sub-command; return its exit code."""
     arguments = sys.argv[1:] if arguments is None else arguments
-    parser = argparse.ArgumentParser(prog="dunepulley", description="Pushes work items to workers.")
+    parser = argparse.ArgumentParser(prog="dunepulley", description="Pushes requests to endpoints.")
     commands = parser.add_subparsers(dest="command", required=True)
     _add_dispatcher_commands(commands)
     if arguments[:1] != ["serve"]:
         _add_other_commands(commands)
-    chosen = parser.parse_args(arguments)
-    if chosen.command in ("serve", "check"):
-        return run_dispatcher(chosen)
-    if chosen.command == "agent":
-        return run_agent(chosen.config, chosen.new_votes)
-    return _run_other_command(chosen)
+    options = parser.parse_args(arguments)
+    if options.command in ("serve", "check"):
+        return run_dispatcher(options)
+    if options.command == "agent":
+        return run_agent(options.config, options.new_votes)
+    return _run_other_command(options)
 
 
 def _add_dispatcher_commands(commands: argparse._SubParsersAction) -> None:
-    for name, text in (("serve", "run one dispatcher"), ("check", "say what the configuration holds")):
+    for name, text in (("serve", "run one dispatcher"), ("check", "print a summary of the configuration")):
         command = commands.add_parser(name, help=text)
         command.add_argument("--config", help="configuration file, in place of $ROUTER_CONFIG")
         if name == "serve":
-            command.add_argument("--events", action="store_true", help="write down all that is decided")
+            command.add_argument("--events", action="store_true", help="log all routing decisions")
 
 
 def _add_other_commands(commands: argparse._SubParsersAction) -> None:
@@ -49,40 +49,40 @@
     from dunepulley.load import command as load
     from dunepulley.model import command as model
 
-    command = commands.add_parser("agent", help="look after the dispatchers of a host")
-    command.add_argument("--config", required=True, help="the agent's file")
-    text = "begin its votes in a new fleet, or a new epoch of one (docs/failover.md)"
+    command = commands.add_parser("agent", help="manage the dispatchers of a host")
+    command.add_argument("--config", required=True, help="the agent's configuration file")
+    text = "create its acceptor state for a new fleet or a new epoch (docs/failover.md)"
     command.add_argument("--new-votes", action="store_true", help=text)
-    ctl.add_to(commands.add_parser("ctl", help="have agents show, drain, restore or restart"))
+    ctl.add_to(commands.add_parser("ctl", help="send commands to agents: show, drain, restore, restart"))
     model.add_to(commands)
     load.add_to(commands)
     commands.add_parser("version", help="print the version")
 
 
-def _run_other_command(chosen: argparse.Namespace) -> int:
+def _run_other_command(options: argparse.Namespace) -> int:
     from dunepulley.agent import ctl
     from dunepulley.load import command as load
     from dunepulley.model import command as model
 
-    if chosen.command == "version":
+    if options.command == "version":
         print(f"dunepulley {VERSION}")
         return EXIT_OK
-    if chosen.command == "ctl":
-        return ctl.run(chosen)
-    if chosen.command == "load":
-        return load.run(chosen)
-    return model.run(chosen)
+    if options.command == "ctl":
+        return ctl.run(options)
+    if options.command == "load":
+        return load.run(options)
+    return model.run(options)
 
 
-def run_dispatcher(chosen: argparse.Namespace) -> int:
-    """Run a dispatcher, or print what its configuration holds; return the exit code."""
+def run_dispatcher(options: argparse.Namespace) -> int:
+    """Run a dispatcher, or print a summary of its configuration; return the exit code."""
     from dunepulley.net import config, process
 
     gc.set_threshold(*GC_THRESHOLDS)
     try:
-        dispatcher_config = config.read(os.environ, chosen.config)
-        if chosen.command == "serve":
-            return asyncio.run(process.serve(dispatcher_config._replace(events=chosen.events)))
+        dispatcher_config = config.read(os.environ, options.config)
+        if options.command == "serve":
+            return asyncio.run(process.serve(dispatcher_config._replace(events=options.events)))
         print(dispatcher_config.summary())
         return EXIT_OK
     except config.ConfigError as error:
@@ -111,7 +111,7 @@
 
 if __name__ == "__main__":
     if sys.argv[1:2] == ["serve"]:
-        # A reload that is asked for during the start waits until somebody handles it, and does not end the
-        # process.
+        # A reload signal during the start stays pending until its handler is installed, rather than ending
+        # the process.
         signal.pthread_sigmask(signal.SIG_BLOCK, OPERATOR_SIGNALS)
     sys.exit(main())
--- a/dunepulley/clocks.py
+++ b/dunepulley/clocks.py
@@ -1,13 +1,13 @@
-"""Time: a monotonic clock for every span, the wall clock for people.
+"""Time: the monotonic clock for durations, the wall clock for display.
 
-The wall clock may be stepped at any moment, forward or back. The monotonic clock is never stepped, and is the
-same for all processes of a host until it boots again. `TimeSource` is the interface to both; `SystemTime`
-reads those of the system, tests pass one of their own.
+The wall clock may be stepped at any time, forward or back. The monotonic clock is never stepped, and is the
+same for all processes of a host until it reboots. `TimeSource` is the interface to both; `SystemTime` reads
+the system's clocks, and tests pass their own source.
 
-Code that measures spans or sets deadlines is passed a `Clock`: it counts in Unix ms, as endpoint lists and
-operators do, but is advanced by the monotonic clock, so that no step ends or prolongs a span. A span that
-goes to another process or to a file is written as the time left and a `Stamp` of the moment at which that
-was so.
+Code that measures durations or sets deadlines is passed a `Clock`: it counts in Unix ms, as endpoint lists
+and operators do, but is advanced by the monotonic clock, so that a step of the wall clock neither shortens
+nor prolongs a duration. A duration that is passed to another process or written to a file is stored as the
+remaining time and a `Stamp` of the time at which that was measured.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
 from typing import NamedTuple, Protocol
 
 STEP_MS = 500.0
-"""A smaller difference between two clocks, in ms, is no step: they are never read at one moment."""
+"""The smallest difference between two clocks, in ms, that counts as a step: they are not read at one time."""
 
 # A wall clock reading between two monotonic readings no further apart than this was read without a pause.
 _MAX_READ_GAP_MS = 10.0
@@ -25,10 +25,10 @@
 
 
 class TimeSource(Protocol):
-    """Where time comes from."""
+    """A source of monotonic and wall clock time."""
 
     def monotonic_ms(self) -> float:
-        """Return ms since an arbitrary moment of this boot; never goes back."""
+        """Return the ms since an arbitrary time of this boot; never decreases."""
         ...
 
     def wall_ms(self) -> float:
@@ -36,7 +36,7 @@
         ...
 
     def boot(self) -> str:
-        """Return an id of the host's present boot, empty where it is not known."""
+        """Return an id of the host's current boot, or an empty string where it is unknown."""
         ...
 
 
@@ -52,7 +52,7 @@
         return time.time() * 1000.0
 
     def boot(self) -> str:
-        """Return the kernel's id of this boot; empty where it cannot be read."""
+        """Return the kernel's id of this boot, or an empty string where it cannot be read."""
         try:
             with open(_BOOT_ID_PATH, encoding="ascii") as file:
                 return file.read().strip()
@@ -61,7 +61,7 @@
 
 
 class Stamp(NamedTuple):
-    """A moment, for another process of this host; the wall clock's reading is for people."""
+    """A point in time that another process of this host can read; `wall_ms` is for display only."""
 
     boot: str
     monotonic_ms: float
@@ -71,30 +71,30 @@
 class Clock:
     """Unix time in ms that is never stepped: the wall clock is read once, then advanced monotonically.
 
-    Calling a clock returns the present moment. Moments of one clock may be compared and subtracted; they mean
-    nothing to another clock.
+    Calling a clock returns the current time. Times of the same clock can be compared and subtracted; they are
+    meaningless to another clock.
     """
 
     def __init__(self, source: TimeSource | None = None, base: float | None = None) -> None:
         """Read `source`, by default the system's clocks.
 
-        `base` is the clock's reading at monotonic zero, in ms, where it is to agree with that of another
-        process; by default it is taken from the wall clock.
+        `base` is the clock's reading at monotonic zero, in ms, for a clock that has to agree with that of
+        another process; by default it is computed from the wall clock.
         """
         self.source: TimeSource = source if source is not None else SystemTime()
         self.monotonic_ms = self.source.monotonic_ms
         self.base = self.source.wall_ms() - self.monotonic_ms() if base is None else base
 
     def __call__(self) -> float:
-        """Return the present moment in ms."""
+        """Return the current time in ms."""
         return self.base + self.monotonic_ms()
 
     def wall_ms(self) -> float:
-        """Return what the wall clock shows now, in Unix ms: to show to people."""
+        """Return the current reading of the wall clock in Unix ms, for display."""
         return self.source.wall_ms()
 
     def wall_offset_ms(self) -> float:
-        """Return by how many ms the wall clock is ahead of this clock; 0 while they agree to `STEP_MS`."""
+        """Return by how many ms the wall clock is ahead of this clock, or 0 for less than `STEP_MS`."""
         offset_ms = 0.0
         for _ in range(_READ_ATTEMPTS):
             before_ms = self()
@@ -104,22 +104,23 @@
         return offset_ms if abs(offset_ms) >= STEP_MS else 0.0
 
     def to_wall_ms(self, moment_ms: float) -> float:
-        """Return what the wall clock shows, as it is set now, at a moment of this clock."""
+        """Convert a time of this clock to the wall clock as it is set now."""
         return moment_ms + self.wall_offset_ms()
 
     def from_wall_ms(self, unix_ms: float) -> float:
-        """Return the moment of this clock that was written in Unix ms and nothing else.
+        """Convert a wall clock time in Unix ms, stored without a stamp, to this clock.
 
-        Once the wall clock was stepped it is not known by which setting it was written: the later one counts.
+        After a step of the wall clock it is unknown whether the time was stored before or after the step; the
+        later of both results is returned.
         """
         return max(unix_ms, unix_ms - self.wall_offset_ms())
 
     def stamp(self) -> Stamp:
-        """Return the present moment for another process of this host."""
+        """Return a stamp of the current time for another process of this host."""
         return Stamp(self.source.boot(), self.monotonic_ms(), self.wall_ms())
 
     def elapsed_since(self, stamp: Stamp) -> float:
-        """Return how many ms have surely passed since a stamp: 0 where it is of another boot."""
+        """Return the ms that have passed since a stamp, or 0 for a stamp of another boot."""
         if stamp.boot != self.source.boot():
             return 0.0
         return max(0.0, self.monotonic_ms() - stamp.monotonic_ms)
--- a/dunepulley/gossip_codec.py
+++ b/dunepulley/gossip_codec.py
@@ -1,4 +1,4 @@
-"""The binary form of a gossip message, the same over UDP and over the simulator's wire.
+"""The binary encoding of gossip messages, the same over UDP and in the simulator's protocol.
 
 One byte tells whether the message is an aggregate (1) or not (0). Entries of three bytes each follow: the
 short id of an endpoint (big-endian, 16 bits) and the number of slots in use there (8 bits).
@@ -16,16 +16,16 @@
 
 
 def encode_gossip(message: SendGossip) -> bytes:
-    """Return a gossip message in its wire form; entries beyond `MAX_GOSSIP_ENTRIES` are left out."""
+    """Encode a gossip message; entries beyond `MAX_GOSSIP_ENTRIES` are omitted."""
     entries = message.slots_held[:MAX_GOSSIP_ENTRIES]
     return bytes((message.is_aggregate,)) + b"".join([GOSSIP_ENTRY.pack(*entry) for entry in entries])
 
 
 def decode_gossip(sender: int, payload: bytes) -> GossipReceived:
-    """Return the gossip message that another dispatcher sent.
+    """Decode a gossip message from another dispatcher.
 
-    Raises ValueError where the payload is empty, too long, cut short or of an unknown kind.
+    Raises ValueError where the payload is empty, too long, truncated or of an unknown kind.
     """
     if not 0 < len(payload) <= MAX_GOSSIP_BYTES or len(payload) % GOSSIP_ENTRY.size != 1 or payload[0] > 1:
-        raise ValueError("not a gossip message")
+        raise ValueError("gossip message: unexpected length or kind")
     return GossipReceived(sender, payload[0] == 1, tuple(GOSSIP_ENTRY.iter_unpack(payload[1:])))
--- a/dunepulley/load/__init__.py
+++ b/dunepulley/load/__init__.py
@@ -1,1 +1,1 @@
-"""A load tool: described or recorded traffic against real dispatchers, with stub servers, on loopback."""
+"""A load tool: sends simulated or recorded traffic to real dispatchers, with stub servers, on loopback."""
--- a/dunepulley/load/command.py
+++ b/dunepulley/load/command.py
@@ -1,4 +1,4 @@
-"""The arguments of `load`; what it runs is loaded only then."""
+"""The arguments of the command `load`; its modules are imported when it runs."""
 
 from __future__ import annotations
 
@@ -10,22 +10,26 @@
 
 
 def add_to(commands: Any) -> None:
-    """The sub-command `load`."""
-    load = commands.add_parser("load", help="play a day or a trace against real dispatchers on loopback")
-    load.add_argument("day", help="the day's description, a TOML file")
-    load.add_argument("--seeds", type=parse_seeds, default=parse_seeds("1"), help="such as 1-3 (usual: 1)")
-    load.add_argument("--trace", help="what a dispatcher recorded, in place of the day's traffic")
-    load.add_argument("--settings", help="settings over the day's own, a TOML file")
-    load.add_argument("--record", help="where to write down all that happened; one seed only")
-    load.add_argument("--check", metavar="RECORD", help="check the rules in a record again; play nothing")
+    """Add the sub-command `load`."""
+    load = commands.add_parser("load", help="run a scenario or a trace against real dispatchers on loopback")
+    load.add_argument("day", help="the scenario, a TOML file")
+    load.add_argument(
+        "--seeds", type=parse_seeds, default=parse_seeds("1"), help="a seed or a range (default: 1)"
+    )
+    load.add_argument(
+        "--trace", help="a trace that a dispatcher recorded, in place of the scenario's traffic"
+    )
+    load.add_argument("--settings", help="settings that override the scenario's, a TOML file")
+    load.add_argument("--record", help="the file to write all events of the run to; requires a single seed")
+    load.add_argument("--check", metavar="RECORD", help="check the rules in a record, without a run")
     load.add_argument("--json", action="store_true")
 
 
-def run(chosen: argparse.Namespace) -> int:
-    """Carry it out; the exit code."""
+def run(options: argparse.Namespace) -> int:
+    """Run `load`; return the exit code."""
     try:
         from dunepulley.load import runner
     except ImportError as problem:
         print(f"dunepulley: {problem}: pip install -r requirements-model.txt", file=sys.stderr)
         return 2
-    return runner.run(chosen)
+    return runner.run(options)
--- a/dunepulley/load/faults.py
+++ b/dunepulley/load/faults.py
@@ -1,4 +1,4 @@
-"""What a day does to links and processes: whom its words mean, the links it takes, when each is at fault."""
+"""Faults of links, processes and clocks: resolves their targets, and starts and ends each at its time."""
 
 from __future__ import annotations
 
@@ -7,116 +7,146 @@
 from collections.abc import Awaitable, Callable, Iterable
 from typing import Any
 
-from dunepulley.load.links import BACK, THERE, Link
+from dunepulley.load.links import BACKWARD, FORWARD, Link
 from dunepulley.load.record import Record
-from dunepulley.model.scenario import CLOCK, COMMON, LINKS, PROCESSES, Fault, Scenario, zone_of
+from dunepulley.model.scenario import (
+    CLOCK_FAULT,
+    COMMON_PLAN,
+    LINK_FAULTS,
+    PROCESS_FAULTS,
+    Fault,
+    Scenario,
+    zone_of,
+)
 
 CLIENTS, DISCOVERY = "clients", "discovery"
-# Each is a listening socket, and two more for each connection that it carries.
-MOST_LINKS = 2000
+# Each link needs a listening socket, and two sockets for each connection that it carries.
+MAX_LINKS = 2000
 
 
-class Names:
-    """Who takes part in a day: dispatchers n0, n1, ..., workers w0, ..., an agent for each zone, hz0, ..."""
+class Participants:
+    """The processes of a scenario and their zones: dispatchers n0, ..., servers w0, ..., agents hz0, ..."""
 
     def __init__(self, scenario: Scenario) -> None:
-        homes = {f"n{k}": zone_of(scenario, k, scenario.dispatchers) for k in range(scenario.dispatchers)}
-        sites = {f"w{k}": zone_of(scenario, k, scenario.workers) for k in range(scenario.workers)}
-        agents = {f"h{zone}": zone for zone in sorted({*homes.values()})} if scenario.way == COMMON else {}
-        self.zones = {"dispatchers": homes, "workers": sites, "agents": agents}
-        self.homes, self.sites, self.agents = homes, sites, agents
-
-    def meant(self, text: str) -> list[str]:
-        """Whom a fault's word means; raises ValueError where nobody is called so."""
+        dispatcher_zones = {
+            f"n{k}": zone_of(scenario, k, scenario.dispatchers) for k in range(scenario.dispatchers)
+        }
+        server_zones = {f"w{k}": zone_of(scenario, k, scenario.workers) for k in range(scenario.workers)}
+        agent_zones = (
+            {f"h{zone}": zone for zone in sorted({*dispatcher_zones.values()})}
+            if scenario.way == COMMON_PLAN
+            else {}
+        )
+        self.zones = {"dispatchers": dispatcher_zones, "workers": server_zones, "agents": agent_zones}
+        self.dispatcher_zones, self.server_zones, self.agent_zones = (
+            dispatcher_zones,
+            server_zones,
+            agent_zones,
+        )
+
+    def resolve(self, text: str) -> list[str]:
+        """Return the names that an end of a fault refers to; raises ValueError where there is none."""
         if text in (CLIENTS, DISCOVERY):
             return [text]
         kind, _, zone = text.partition("@")
         if kind in self.zones:
-            some = [name for name, home in self.zones[kind].items() if not zone or home == zone]
+            found = [name for name, home in self.zones[kind].items() if not zone or home == zone]
         else:
-            some = [text] if any([text in each for each in self.zones.values()]) else []
-        if not some:
-            raise ValueError(f"a fault names {text!r}, which nobody here is called")
-        return some
+            found = [text] if any([text in names for names in self.zones.values()]) else []
+        if not found:
+            raise ValueError(f"fault: {text!r} is not a known process or group")
+        return found
+
+    def links_between(self, one: str, other: str) -> list[tuple[str, str]]:
+        """Return the links between two participants as (caller, target).
 
-    def callers(self, one: str, other: str) -> list[tuple[str, str]]:
-        """The links between two, from who calls to who is called; raises ValueError where there is none."""
+        Raises ValueError where there is none.
+        """
         pairs = [
             pair
             for pair in ((one, other), (other, one))
-            if any([pair[0] in a and pair[1] in b for a, b in self._ways()])
+            if any([pair[0] in a and pair[1] in b for a, b in self._possible_links()])
         ]
         if not pairs:
-            raise ValueError(f"nothing goes between {one} and {other}")
+            raise ValueError(f"fault: there is no link between {one} and {other}")
         return pairs
 
-    def _ways(self) -> list[tuple[Iterable[str], Iterable[str]]]:
+    def _possible_links(self) -> list[tuple[Iterable[str], Iterable[str]]]:
         return [
-            ((CLIENTS,), self.homes),
-            (self.homes, self.sites),
-            (self.sites, self.homes),
-            (self.homes, (DISCOVERY,)),
-            (self.agents, self.homes),
-            (self.agents, self.agents),
+            ((CLIENTS,), self.dispatcher_zones),
+            (self.dispatcher_zones, self.server_zones),
+            (self.server_zones, self.dispatcher_zones),
+            (self.dispatcher_zones, (DISCOVERY,)),
+            (self.agent_zones, self.dispatcher_zones),
+            (self.agent_zones, self.agent_zones),
         ]
 
 
-class Planned:
-    """One fault of a day, and whom it strikes."""
+class PlannedFault:
+    """A fault of a scenario, and the links or processes that it affects."""
 
-    def __init__(self, number: int, fault: Fault, names: Names, chance: random.Random) -> None:
+    def __init__(self, number: int, fault: Fault, participants: Participants, rng: random.Random) -> None:
         self.number, self.fault = number, fault
         self.pairs: list[tuple[str, str]] = []
-        self.who: list[str] = []
-        if fault.kind in LINKS:
-            ends = [(a, b) for a in names.meant(fault.one) for b in names.meant(fault.other) if a != b]
+        self.processes: list[str] = []
+        if fault.kind in LINK_FAULTS:
+            ends = [
+                (a, b)
+                for a in participants.resolve(fault.one)
+                for b in participants.resolve(fault.other)
+                if a != b
+            ]
             unordered = list({frozenset(pair): pair for pair in ends}.values())
-            self.pairs = drawn(unordered, fault.part, chance)
-            self.links = [link for pair in self.pairs for link in names.callers(*pair)]
+            self.pairs = draw_sample(unordered, fault.part, rng)
+            self.links = [link for pair in self.pairs for link in participants.links_between(*pair)]
             return
         self.links = []
-        self.who = drawn(names.meant(fault.one), fault.part, chance)
-        able = set(names.sites) if fault.kind == CLOCK else {*names.homes, *names.agents}
-        odd = [name for name in self.who if name not in able]
-        if odd:
-            what = "the clocks of workers" if fault.kind == CLOCK else "dispatchers and agents"
-            raise ValueError(f"fault {fault.kind}: {odd[0]} is none of {what}")
-
-    def ways(self, link: tuple[str, str]) -> tuple[str, ...]:
-        """The directions of a link, as its caller sees them, that are struck."""
+        self.processes = draw_sample(participants.resolve(fault.one), fault.part, rng)
+        suitable = (
+            set(participants.server_zones)
+            if fault.kind == CLOCK_FAULT
+            else {*participants.dispatcher_zones, *participants.agent_zones}
+        )
+        unsuitable = [name for name in self.processes if name not in suitable]
+        if unsuitable:
+            expected = "workers" if fault.kind == CLOCK_FAULT else "dispatchers or agents"
+            raise ValueError(f"fault {fault.kind}: {unsuitable[0]} is invalid, expected {expected}")
+
+    def directions(self, link: tuple[str, str]) -> tuple[str, ...]:
+        """Return the affected directions of a link, as seen by its caller."""
         if self.fault.way == "both":
-            return THERE, BACK
-        # `there` is from `one` to `other`, whoever of them calls.
-        along = link in self.pairs
-        return (THERE if (self.fault.way == "there") == along else BACK,)
-
-
-def drawn(some: list[Any], part: float, chance: random.Random) -> list[Any]:
-    """A part of some, at least one, in their order."""
-    count = max(1, round(part * len(some)))
-    chosen = set(chance.sample(range(len(some)), min(count, len(some))))
-    return [each for number, each in enumerate(some) if number in chosen]
-
-
-def planned(scenario: Scenario, seed: int) -> list[Planned]:
-    """The faults of a day with one seed; raises ValueError where one makes no sense."""
-    names, chance = Names(scenario), random.Random(seed)
-    faults = [Planned(number, fault, names, chance) for number, fault in enumerate(scenario.faults)]
-    count = len({link for each in faults for link in each.links})
-    if count > MOST_LINKS:
-        raise ValueError(f"the faults take {count} links, more than {MOST_LINKS}")
+            return FORWARD, BACKWARD
+        # `there` is the direction from `one` to `other`, whichever of them is the caller.
+        is_caller_first = link in self.pairs
+        return (FORWARD if (self.fault.way == "there") == is_caller_first else BACKWARD,)
+
+
+def draw_sample(values: list[Any], fraction: float, rng: random.Random) -> list[Any]:
+    """Draw a fraction of the values, at least one, and return them in their order."""
+    count = max(1, round(fraction * len(values)))
+    drawn = set(rng.sample(range(len(values)), min(count, len(values))))
+    return [value for number, value in enumerate(values) if number in drawn]
+
+
+def plan_faults(scenario: Scenario, seed: int) -> list[PlannedFault]:
+    """Draw the targets of a scenario's faults with a seed; raises ValueError where a fault is invalid."""
+    participants, rng = Participants(scenario), random.Random(seed)
+    faults = [PlannedFault(number, fault, participants, rng) for number, fault in enumerate(scenario.faults)]
+    count = len({link for planned in faults for link in planned.links})
+    if count > MAX_LINKS:
+        raise ValueError(f"the faults need {count} links, more than {MAX_LINKS}")
     return faults
 
 
 class Faults:
-    """Owns the links of a run, and has each fault begin and end at its time."""
+    """Owns the links of a run, and starts and ends each fault at its time."""
 
-    def __init__(self, faults: list[Planned], record: Record, seed: int) -> None:
+    def __init__(self, faults: list[PlannedFault], record: Record, seed: int) -> None:
         self.faults, self.record, self.seed = faults, record, seed
         self.links: dict[tuple[str, str], Link | None] = {
-            link: None for each in faults for link in each.links
+            link: None for planned in faults for link in planned.links
         }
-        self.active: dict[int, Planned] = {}
+        self.active: dict[int, PlannedFault] = {}
         self.clocks: dict[str, float] = {}
         self.tasks: list[asyncio.Task] = []
 
@@ -133,55 +163,71 @@
             if link is not None:
                 await link.__aexit__()
 
-    def through(self, caller: str, called: str, address: str) -> str:
-        """Where somebody has to call to reach an address: there, or the link that leads there now."""
-        link = self.links.get((caller, called))
+    def routed_address(self, caller: str, target: str, address: str) -> str:
+        """Return the address that a caller uses to reach `address`: that of the link, where there is one.
+
+        The link's target is set to `address`.
+        """
+        link = self.links.get((caller, target))
         if link is None:
             return address
         link.target = address
         return link.address
 
-    def start(self, begin_s: float, acts: dict[str, Callable[[str, float], Awaitable[None]]]) -> None:
-        """Have faults begin; `acts` does what is done to a process, told its name and until when."""
-        for each in self.faults:
-            self.tasks.append(asyncio.create_task(self._play(each, begin_s, acts)))
+    def start(self, begin_s: float, actions: dict[str, Callable[[str, float], Awaitable[None]]]) -> None:
+        """Schedule all faults from `begin_s`, in seconds of the loop's clock.
 
-    async def _play(self, each: Planned, begin_s: float, acts: dict[str, Any]) -> None:
-        fault, loop = each.fault, asyncio.get_running_loop()
+        `actions` holds a function for each kind of process fault; it takes the process's name and the time at
+        which the fault ends.
+        """
+        for planned in self.faults:
+            self.tasks.append(asyncio.create_task(self._run_fault(planned, begin_s, actions)))
+
+    async def _run_fault(self, planned: PlannedFault, begin_s: float, actions: dict[str, Any]) -> None:
+        fault, loop = planned.fault, asyncio.get_running_loop()
         await asyncio.sleep(max(0.0, begin_s + fault.from_s - loop.time()))
-        told = {"number": each.number, "kind": fault.kind, "pairs": each.pairs, "who": each.who}
-        self.record.note("fault", on=True, **told)
+        fields = {
+            "number": planned.number,
+            "kind": fault.kind,
+            "pairs": planned.pairs,
+            "who": planned.processes,
+        }
+        self.record.add_event("fault", on=True, **fields)
         until = begin_s + fault.to_s
-        if fault.kind in PROCESSES:
-            await asyncio.gather(*[acts[fault.kind](name, until) for name in each.who])
-        elif fault.kind == CLOCK:
-            self.clocks |= dict.fromkeys(each.who, fault.size)
+        if fault.kind in PROCESS_FAULTS:
+            await asyncio.gather(*[actions[fault.kind](name, until) for name in planned.processes])
+        elif fault.kind == CLOCK_FAULT:
+            self.clocks |= dict.fromkeys(planned.processes, fault.size)
         elif fault.kind == "reset":
-            for link in each.links:
+            for link in planned.links:
                 self.links[link].reset()
         else:
-            self.active[each.number] = each
-            self._apply(each.links)
-        if fault.kind not in PROCESSES and fault.kind != "reset":
+            self.active[planned.number] = planned
+            self._apply(planned.links)
+        if fault.kind not in PROCESS_FAULTS and fault.kind != "reset":
             await asyncio.sleep(max(0.0, until - loop.time()))
-            self.active.pop(each.number, None)
-            self._apply(each.links)
-            for name in each.who:
+            self.active.pop(planned.number, None)
+            self._apply(planned.links)
+            for name in planned.processes:
                 self.clocks.pop(name, None)
-        self.record.note("fault", on=False, **told)
+        self.record.add_event("fault", on=False, **fields)
 
     def _apply(self, links: Iterable[tuple[str, str]]) -> None:
-        """Set links to what all faults of now make of them."""
+        """Apply the combination of all active faults to these links."""
         for pair in links:
             link = self.links[pair]
-            mine = [each for each in self.active.values() if pair in each.links]
-            for name, way in link.ways.items():
-                struck = [each.fault for each in mine if name in each.ways(pair)]
-                way.late_ms = max([one.size for one in struck if one.kind == "slow"], default=0.0)
-                way.lossy = max([one.size for one in struck if one.kind == "lossy"], default=0.0)
-                cut = any([one.kind == "cut" for one in struck])
-                (way.whole.clear if cut else way.whole.set)()
-            refuses = any([each.fault.kind == "refuse" for each in mine])
+            active_here = [planned for planned in self.active.values() if pair in planned.links]
+            for name, direction in link.directions.items():
+                active = [planned.fault for planned in active_here if name in planned.directions(pair)]
+                direction.delay_ms = max(
+                    [fault.size for fault in active if fault.kind == "slow"], default=0.0
+                )
+                direction.loss_ratio = max(
+                    [fault.size for fault in active if fault.kind == "lossy"], default=0.0
+                )
+                is_cut = any([fault.kind == "cut" for fault in active])
+                (direction.connected.clear if is_cut else direction.connected.set)()
+            refuses = any([planned.fault.kind == "refuse" for planned in active_here])
             if refuses and not link.refusing:
                 link.refuse()
             link.refusing = refuses
--- a/dunepulley/load/links.py
+++ b/dunepulley/load/links.py
@@ -1,8 +1,9 @@
-"""Links between processes on loopback that can be cut, also one way, slowed, made lossy, or reset.
+"""TCP proxies between processes on loopback that can be cut (also in one direction), delayed, lossy or reset.
 
-A `Link` listens at an address of its own and carries bytes to a target and back. A user's program cannot
-keep a connection from coming up: one that is made while a link is cut comes up and stays silent, as does
-every open one; what was sent meanwhile arrives when the link is whole again, as TCP would send it once more.
+A `Link` listens at its own address and forwards bytes to a target and back. A user-space program cannot
+prevent a TCP connection from being established: a connection made while the link is cut is accepted and
+stays silent, as do the open ones. Data sent meanwhile arrives once the link is restored, as with TCP
+retransmission.
 """
 
 from __future__ import annotations
@@ -12,30 +13,30 @@
 import random
 from collections.abc import Callable
 
-# A lost segment is sent again after about so long.
-AGAIN_MS = 200.0
-MOST = 65536
-THERE, BACK = "there", "back"
+# The additional delay of data that counts as lost, about that of a TCP retransmission.
+RETRANSMIT_MS = 200.0
+CHUNK_BYTES = 65536
+FORWARD, BACKWARD = "there", "back"
 
 
-class Way:
-    """One direction: whether it is cut, how late it is, and which part of what is carried is sent twice."""
+class Direction:
+    """The state of one direction of a link: cut or connected, its delay, and the ratio of lost chunks."""
 
     def __init__(self) -> None:
-        self.whole = asyncio.Event()
-        self.whole.set()
-        self.late_ms = 0.0
-        self.lossy = 0.0
+        self.connected = asyncio.Event()
+        self.connected.set()
+        self.delay_ms = 0.0
+        self.loss_ratio = 0.0
 
 
 class Link:
-    """One link; whoever starts it closes it."""
+    """A link to a target address, used as an async context manager; `log` is called with each change."""
 
     def __init__(self, target: str, seed: int = 0, log: Callable[[str], None] = lambda text: None) -> None:
         self.target = target
-        self.ways = {THERE: Way(), BACK: Way()}
+        self.directions = {FORWARD: Direction(), BACKWARD: Direction()}
         self.refusing = False
-        self.chance = random.Random(seed)
+        self.rng = random.Random(seed)
         self.log = log
         self.tasks: set[asyncio.Task] = set()
         self.writers: set[asyncio.StreamWriter] = set()
@@ -43,7 +44,7 @@
         self.address = ""
 
     async def __aenter__(self) -> Link:
-        self.server = await asyncio.start_server(self._came, "127.0.0.1", 0)
+        self.server = await asyncio.start_server(self._accept, "127.0.0.1", 0)
         self.address = "{}:{}".format(*self.server.sockets[0].getsockname()[:2])
         return self
 
@@ -54,73 +55,77 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
 
-    def cut(self, *ways: str) -> None:
-        """Carry nothing any more, in these directions or in both."""
-        for way in ways or (THERE, BACK):
-            self.ways[way].whole.clear()
-        self.log(f"cut {' '.join(ways) or 'both ways'}")
+    def cut(self, *directions: str) -> None:
+        """Stop forwarding in these directions, by default in both."""
+        for direction in directions or (FORWARD, BACKWARD):
+            self.directions[direction].connected.clear()
+        self.log(f"cut {' '.join(directions) or 'both ways'}")
 
     def mend(self) -> None:
-        """Be whole, at once and without loss."""
+        """Restore the link: forward in both directions, without delay or loss."""
         self.refusing = False
-        for way in self.ways.values():
-            way.whole.set()
-            way.late_ms = way.lossy = 0.0
+        for direction in self.directions.values():
+            direction.connected.set()
+            direction.delay_ms = direction.loss_ratio = 0.0
         self.log("whole")
 
-    def slow(self, late_ms: float, lossy: float = 0.0) -> None:
-        """Carry all so much later, and this part of it later still, as what is lost is sent again."""
-        for way in self.ways.values():
-            way.late_ms, way.lossy = late_ms, lossy
-        self.log(f"late by {late_ms:g} ms, lossy {lossy:g}")
+    def slow(self, delay_ms: float, loss_ratio: float = 0.0) -> None:
+        """Delay all data by `delay_ms`, and the fraction `loss_ratio` also by `RETRANSMIT_MS`."""
+        for direction in self.directions.values():
+            direction.delay_ms, direction.loss_ratio = delay_ms, loss_ratio
+        self.log(f"late by {delay_ms:g} ms, lossy {loss_ratio:g}")
 
     def refuse(self) -> None:
-        """Break every connection, and each new one at once."""
+        """Reset every connection, and each new one immediately."""
         self.refusing = True
         self.reset()
 
     def reset(self) -> None:
-        """Break every connection."""
+        """Reset every connection."""
         for writer in list(self.writers):
             writer.transport.abort()
         self.log("reset")
 
-    async def _came(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
+    async def _accept(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         self.tasks.add(task)
         self.writers.add(writer)
-        other: asyncio.StreamWriter | None = None
+        remote_writer: asyncio.StreamWriter | None = None
         try:
             if self.refusing:
                 writer.transport.abort()
                 return
-            # Who comes while the way there is cut does not reach the target.
-            await self.ways[THERE].whole.wait()
+            # Do not connect to the target while the forward direction is cut.
+            await self.directions[FORWARD].connected.wait()
             host, _, port = self.target.rpartition(":")
-            far, other = await asyncio.open_connection(host, int(port))
-            self.writers.add(other)
-            there = asyncio.create_task(self._carry(reader, other, self.ways[THERE]))
-            back = asyncio.create_task(self._carry(far, writer, self.ways[BACK]))
-            await asyncio.wait([there, back], return_when=asyncio.ALL_COMPLETED)
+            remote_reader, remote_writer = await asyncio.open_connection(host, int(port))
+            self.writers.add(remote_writer)
+            forward = asyncio.create_task(self._carry(reader, remote_writer, self.directions[FORWARD]))
+            backward = asyncio.create_task(self._carry(remote_reader, writer, self.directions[BACKWARD]))
+            await asyncio.wait([forward, backward], return_when=asyncio.ALL_COMPLETED)
         except OSError:
             writer.transport.abort()
         finally:
-            for one in (writer, other):
-                if one is not None:
-                    self.writers.discard(one)
-                    one.close()
+            for open_writer in (writer, remote_writer):
+                if open_writer is not None:
+                    self.writers.discard(open_writer)
+                    open_writer.close()
             self.tasks.discard(task)
 
-    async def _carry(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, way: Way) -> None:
+    async def _carry(
+        self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
+    ) -> None:
         try:
-            while chunk := await reader.read(MOST):
-                late = way.late_ms + (AGAIN_MS if self.chance.random() < way.lossy else 0.0)
-                if late:
-                    await asyncio.sleep(late / 1000.0)
-                await way.whole.wait()
+            while chunk := await reader.read(CHUNK_BYTES):
+                chunk_delay_ms = direction.delay_ms + (
+                    RETRANSMIT_MS if self.rng.random() < direction.loss_ratio else 0.0
+                )
+                if chunk_delay_ms:
+                    await asyncio.sleep(chunk_delay_ms / 1000.0)
+                await direction.connected.wait()
                 writer.write(chunk)
                 await writer.drain()
-            await way.whole.wait()
+            await direction.connected.wait()
             with contextlib.suppress(OSError, RuntimeError):
                 writer.write_eof()
         except OSError:
--- a/dunepulley/load/local.py
+++ b/dunepulley/load/local.py
@@ -1,4 +1,4 @@
-"""What stub servers on loopback share: ports, servers, time, callbacks, and a discovery."""
+"""Helpers for stub servers on loopback: free ports, HTTP servers, real time, callbacks and a discovery."""
 
 from __future__ import annotations
 
@@ -14,16 +14,16 @@
 
 
 def free_ports(count: int) -> list[int]:
-    """Ports that nobody listens at now."""
-    held = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
-    ports = [one.getsockname()[1] for one in held]
-    for one in held:
-        one.close()
+    """Return ports on which no process listens now."""
+    listeners = [socket.create_server(("127.0.0.1", 0)) for _ in range(count)]
+    ports = [listener.getsockname()[1] for listener in listeners]
+    for listener in listeners:
+        listener.close()
     return ports
 
 
 class RealTime:
-    """A timeline by the loop's clock, in ms."""
+    """A timeline for server models on the event loop's clock, in ms."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -32,23 +32,26 @@
     def now(self) -> float:
         return self.loop.time() * 1000.0
 
-    def at(self, when: float, what: Any) -> Any:
-        """Have something called at a moment."""
-        return self.loop.call_at(when / 1000.0, what)
+    def at(self, when: float, action: Any) -> Any:
+        """Schedule a call at a time in ms."""
+        return self.loop.call_at(when / 1000.0, action)
 
 
 async def serve(server: web.Server, port: int = 0) -> tuple[web.ServerRunner, str]:
-    """Have a server listen, at a port of its own or at this one; its address. Who starts it cleans it up."""
+    """Start a server on a port, by default a free one; return its runner and its address.
+
+    The caller cleans up the runner.
+    """
     runner = web.ServerRunner(server, shutdown_timeout=0.1)
     await runner.setup()
     await web.TCPSite(runner, "127.0.0.1", port, reuse_address=bool(port)).start()
     return runner, f"127.0.0.1:{runner.addresses[0][1]}"
 
 
-def member(worker: str, address: str, zone: str, kind: str, cell: str) -> dict[str, Any]:
-    """A worker in discovery's list."""
+def member(server: str, address: str, zone: str, kind: str, cell: str) -> dict[str, Any]:
+    """Return the entry of a server in discovery's list."""
     return {
-        "id": worker,
+        "id": server,
         "host_port": address,
         "locality": zone,
         "flavor": kind,
@@ -60,73 +63,73 @@
 
 
 async def send_callback(
-    session: aiohttp.ClientSession, address: str, told: dict[str, Any], retry_pause_s: float
+    session: aiohttp.ClientSession, address: str, document: dict[str, Any], retry_pause_s: float
 ) -> None:
-    """Tell a dispatcher what became of a hand-off, until it is answered, ten times at most."""
+    """Send the result of an attempt to a dispatcher; retry until it is acknowledged, at most ten times."""
     for _ in range(10):
         with contextlib.suppress(aiohttp.ClientError, OSError):
-            url, body = f"http://{address}/v1/job-events", json.dumps(told).encode()
-            async with session.post(url, data=body) as answer:
-                if answer.status in (200, 204):
+            url, body = f"http://{address}/v1/job-events", json.dumps(document).encode()
+            async with session.post(url, data=body) as response:
+                if response.status in (200, 204):
                     return
         await asyncio.sleep(retry_pause_s)
 
 
 class Catalog:
-    """A discovery's list, which may change; whoever watches is told the whole of it each time."""
+    """A discovery's list of servers; each watch receives the complete list on every change."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self.members = members
         self.revision = 1
         self.changed = asyncio.Event()
-        # Called with the list once it is written to whoever watches.
-        self.wrote: Callable[[list[dict[str, Any]]], None] = lambda members: None
+        # Called with the list after it was written to a watch.
+        self.on_written: Callable[[list[dict[str, Any]]], None] = lambda members: None
 
-    def change(self, worker: str, **figures: Any) -> None:
-        """Tell another phase, start or size of a worker."""
-        self.replace([each | figures if each["id"] == worker else each for each in self.members])
+    def change(self, server: str, **fields: Any) -> None:
+        """Change fields of a server's entry, as its phase, start time or size."""
+        self.replace([entry | fields if entry["id"] == server else entry for entry in self.members])
 
     def replace(self, members: list[dict[str, Any]]) -> None:
-        """Tell another list."""
+        """Replace the list."""
         self.members = members
         self.revision += 1
-        # Each watch waits for the event that it saw last.
+        # Watches wait for the event that they read last, so each change sets it and creates a new one.
         self.changed.set()
         self.changed = asyncio.Event()
 
     async def watch(self, request: web.BaseRequest) -> web.StreamResponse:
-        """A watch that lasts until it is broken."""
-        answer = web.StreamResponse()
-        await answer.prepare(request)
-        told = 0
+        """Serve a watch until its connection is closed."""
+        response = web.StreamResponse()
+        await response.prepare(request)
+        revision = 0
         with contextlib.suppress(ConnectionError):
             while True:
-                changed, members, new = self.changed, self.members, told != self.revision
-                told, line = self.revision, b""
-                if new:
-                    line = json.dumps({"revision": told, "complete": True, "members": members}).encode()
-                await answer.write(line + b"\n")
-                if new:
-                    self.wrote(members)
+                changed, members, is_new = self.changed, self.members, revision != self.revision
+                revision, line = self.revision, b""
+                if is_new:
+                    line = json.dumps({"revision": revision, "complete": True, "members": members}).encode()
+                await response.write(line + b"\n")
+                if is_new:
+                    self.on_written(members)
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(2.0):
                         await changed.wait()
-        return answer
+        return response
 
 
 @contextlib.asynccontextmanager
 async def serve_catalog(members: list[dict[str, Any]]) -> AsyncIterator[tuple[Catalog, str]]:
-    """A discovery that tells these workers, and its address."""
-    here = Catalog(members)
-    runner, address = await serve(web.Server(here.watch, access_log=None))
+    """Run a discovery with these entries; yields its list and its address."""
+    catalog = Catalog(members)
+    runner, address = await serve(web.Server(catalog.watch, access_log=None))
     try:
-        yield here, address
+        yield catalog, address
     finally:
         await runner.cleanup()
 
 
 @contextlib.asynccontextmanager
 async def discovery(members: list[dict[str, Any]]) -> AsyncIterator[str]:
-    """A discovery whose list stays as it is; its address."""
+    """Run a discovery whose list does not change; yields its address."""
     async with serve_catalog(members) as (_, address):
         yield address
--- a/dunepulley/load/runner.py
+++ b/dunepulley/load/runner.py
@@ -1,4 +1,4 @@
-"""Plays a day's traffic or a trace against real dispatchers, with the model's workers in real time."""
+"""Runs a scenario's traffic or a trace against real dispatchers, with stub servers in real time."""
 
 from __future__ import annotations
 
@@ -33,257 +33,286 @@
 from dunepulley.model.traffic import spread_out
 from dunepulley.routing.events import EndpointState
 
-READY_S = 30.0
-MOST_S = 600.0
-# Of a dispatcher's process; the day says nothing of it.
+READY_TIMEOUT_S = 30.0
+MAX_RUN_S = 600.0
+# The limit of sockets in the configuration of a dispatcher.
 SOCKETS = 1024
-# What a worker's phase in discovery's list is to the rules.
+# The state that the rules use for each phase in discovery's list.
 STATES = {"Ready": EndpointState.READY, "Terminating": EndpointState.DRAINING}
 
 
 class LoadRun:
-    """One run: stubs of all that dispatchers speak with, their processes, and what happened."""
+    """One run: the dispatcher and agent processes, stubs of the systems around them, and the record."""
 
     def __init__(
         self,
         scenario: scenarios.Scenario,
         seed: int,
-        due: dict[str, ClientRequest],
+        requests: dict[str, ClientRequest],
         simulation: Simulation,
         folder: Path,
     ) -> None:
-        self.day, self.seed, self.due, self.simulation = scenario, seed, due, simulation
+        self.scenario, self.seed, self.requests, self.simulation = scenario, seed, requests, simulation
         self.time = RealTime()
         self.record = Record(lambda: self.time.now)
-        self.names = faults.Names(scenario)
-        self.faults = faults.Faults(faults.planned(scenario, seed), self.record, seed)
+        self.participants = faults.Participants(scenario)
+        self.faults = faults.Faults(faults.plan_faults(scenario, seed), self.record, seed)
         self.processes = Processes(folder)
         self.stub_servers = StubServers(self, self.time, scenario.cancel, scenario.tells_start)
-        self.chance = np.random.default_rng(seed)
-        count = len(self.names.homes)
-        ports = free_ports(2 * count + len(self.names.agents))
-        self.listen = dict(zip(self.names.homes, ports[:count], strict=True))
-        self.console = dict(zip(self.names.homes, ports[count : 2 * count], strict=True))
-        self.agents = dict(zip(self.names.agents, ports[2 * count :], strict=True))
-        # What each dispatcher's discovery tells, where, and the states of workers that were written to it.
+        self.rng = np.random.default_rng(seed)
+        count = len(self.participants.dispatcher_zones)
+        ports = free_ports(2 * count + len(self.participants.agent_zones))
+        self.client_ports = dict(zip(self.participants.dispatcher_zones, ports[:count], strict=True))
+        self.admin_ports = dict(
+            zip(self.participants.dispatcher_zones, ports[count : 2 * count], strict=True)
+        )
+        self.agent_ports = dict(zip(self.participants.agent_zones, ports[2 * count :], strict=True))
+        # Per dispatcher: its discovery's list, the address of that discovery, and the last states sent to it.
         self.catalogs: dict[str, Catalog] = {}
         self.discoveries: dict[str, str] = {}
-        self.told: dict[str, dict[str, str]] = {name: {} for name in self.names.homes}
+        self.sent_states: dict[str, dict[str, str]] = {
+            name: {} for name in self.participants.dispatcher_zones
+        }
         self.entries: dict[str, dict[str, Any]] = {}
         self.list_late = self.reports_late = 0.0
-        self.shots: dict[str, list[tuple[float, dict[str, float]]]] = {
-            name: [] for name in simulation.workers
+        self.snapshots: dict[str, list[tuple[float, dict[str, float]]]] = {
+            name: [] for name in simulation.servers
         }
-        self.dispatchers = Dispatchers(self.names.homes, self.listen, self.faults)
+        self.dispatchers = Dispatchers(self.participants.dispatcher_zones, self.client_ports, self.faults)
         self.clients = Clients(scenario, self.dispatchers, self.record)
         self.tasks: set[asyncio.Task] = set()
 
-    # ---------------------------------------------------------------- what stub servers ask
+    # ---------------------------------------------------------------- callbacks of the stub servers
 
     def find_work_ms(self, request_id: str, headers: Any) -> float | None:
-        """What an item takes."""
-        due = self.due.get(request_id.partition("-")[0])
-        return None if due is None or request_id not in self.clients.dispatcher_of else due.work
+        """Return the run time of a request in ms, or None for an id that no client sent."""
+        request = self.requests.get(request_id.partition("-")[0])
+        return None if request is None or request_id not in self.clients.dispatcher_of else request.work
 
-    def callback_address(self, request_id: str, worker: str) -> str:
-        """Where a dispatcher hears of an item."""
-        home = self.clients.dispatcher_of[request_id]
-        return self.faults.through(worker, home, f"127.0.0.1:{self.listen[home]}")
+    def callback_address(self, request_id: str, name: str) -> str:
+        """Return the address at which the request's dispatcher receives callbacks from this server."""
+        dispatcher = self.clients.dispatcher_of[request_id]
+        return self.faults.routed_address(name, dispatcher, f"127.0.0.1:{self.client_ports[dispatcher]}")
 
-    def record_event(self, what: str, worker: str, request_id: str, work: float) -> None:
-        """Write down what becomes of a hand-off."""
+    def record_event(self, event: str, name: str, request_id: str, work: float) -> None:
+        """Record an event of an attempt."""
         more = {}
-        one = self.stub_servers.workers[worker]
-        if what == "arrived":
+        server = self.stub_servers.workers[name]
+        if event == "arrived":
             more["work"] = work
-            if one.since > 0.0 and self.time.now - one.since < self.day.cold_s * 1000.0:
-                more["able"] = one.speed * one.factors.get("cold", 1.0) * one.slots
-        self.record.note(what, worker=worker, wi=request_id, **more)
-
-    def load_report(self, worker: ModelServer) -> dict[str, float]:
-        """As in the model: refreshed now and then, some way behind."""
-        now, shots = self.time.now, self.shots[worker.name]
-        if not shots or now - shots[-1][0] >= self.day.report_period_ms:
-            shots.append((now, load_report_fields(worker)))
-        while len(shots) > 1 and shots[1][0] <= now - self.day.report_delay_ms - self.reports_late:
-            shots.pop(0)
-        return shots[0][1]
-
-    # ---------------------------------------------------------------- workers and the list
-
-    async def open(self, name: str, since: float) -> None:
-        """Have a worker's process listen, and note what the list is to tell of it."""
-        one = self.stub_servers.workers.get(name)
-        if one is None:
-            w = self.simulation.workers[name]
-            one = ModelServer(self.time, name, w.zone, w.kind, w.cell, w.slots, w.most, w.speed)
-        address = await self.stub_servers.open(one)
-        entry = member(name, address, one.zone, one.kind, one.cell)
-        self.entries[name] = entry | {"up_since_ms": since and since + self.faults.clocks.get(name, 0.0)}
-
-    def listed(self, me: str) -> list[dict[str, Any]]:
-        """The list as a dispatcher's discovery has it once all that is under way has come."""
-        mine = self.entries.values()
-        if self.day.way == scenarios.FIXED:
-            mine = [each for each in mine if each["locality"] == self.names.homes[me]]
-        return [self._reached(me, each) for each in mine]
-
-    def _reached(self, me: str, entry: dict[str, Any]) -> dict[str, Any]:
-        return entry | {"host_port": self.faults.through(me, entry["id"], entry["host_port"])}
-
-    def _change(self, name: str) -> None:
-        """The list learns of a worker, and each dispatcher's discovery of that a while later."""
-        for me in self.catalogs:
-            late = self.day.list_delay_ms * float(self.chance.uniform(0.5, 1.5)) + self.list_late
-            self.time.at(self.time.now + late, functools.partial(self._tell, me, name))
-
-    def _tell(self, me: str, name: str) -> None:
-        entry, serve_catalog = self.entries.get(name), self.catalogs[me]
-        if self.day.way == scenarios.FIXED and self.simulation.workers[name].zone != self.names.homes[me]:
+            if server.started_ms > 0.0 and self.time.now - server.started_ms < self.scenario.cold_s * 1000.0:
+                more["able"] = server.speed * server.factors.get("cold", 1.0) * server.slots
+        self.record.add_event(event, worker=name, wi=request_id, **more)
+
+    def load_report(self, server: ModelServer) -> dict[str, float]:
+        """Return a server's load report, refreshed periodically and delayed as in the simulation."""
+        now, snapshots = self.time.now, self.snapshots[server.name]
+        if not snapshots or now - snapshots[-1][0] >= self.scenario.report_period_ms:
+            snapshots.append((now, load_report_fields(server)))
+        while (
+            len(snapshots) > 1 and snapshots[1][0] <= now - self.scenario.report_delay_ms - self.reports_late
+        ):
+            snapshots.pop(0)
+        return snapshots[0][1]
+
+    # ---------------------------------------------------------------- servers and the endpoint list
+
+    async def open(self, name: str, started_ms: float) -> None:
+        """Have a server listen, and create its entry of the endpoint list.
+
+        `started_ms` is its start time in Unix ms, or 0 for a server that started long ago.
+        """
+        server = self.stub_servers.workers.get(name)
+        if server is None:
+            s = self.simulation.servers[name]
+            server = ModelServer(self.time, name, s.zone, s.kind, s.cell, s.slots, s.max_queue, s.speed)
+        address = await self.stub_servers.open(server)
+        entry = member(name, address, server.zone, server.kind, server.cell)
+        self.entries[name] = entry | {
+            "up_since_ms": started_ms and started_ms + self.faults.clocks.get(name, 0.0)
+        }
+
+    def listed(self, dispatcher: str) -> list[dict[str, Any]]:
+        """Return the current endpoint list for a dispatcher's discovery, without the delay of changes."""
+        entries = self.entries.values()
+        if self.scenario.way == scenarios.OWN_ZONE:
+            entries = [
+                entry
+                for entry in entries
+                if entry["locality"] == self.participants.dispatcher_zones[dispatcher]
+            ]
+        return [self._with_routed_address(dispatcher, entry) for entry in entries]
+
+    def _with_routed_address(self, dispatcher: str, entry: dict[str, Any]) -> dict[str, Any]:
+        return entry | {"host_port": self.faults.routed_address(dispatcher, entry["id"], entry["host_port"])}
+
+    def _announce_change(self, name: str) -> None:
+        """Send a server's new entry to the discovery of each dispatcher after a random delay."""
+        for dispatcher in self.catalogs:
+            delay_ms = self.scenario.list_delay_ms * float(self.rng.uniform(0.5, 1.5)) + self.list_late
+            self.time.at(self.time.now + delay_ms, functools.partial(self._update_list, dispatcher, name))
+
+    def _update_list(self, dispatcher: str, name: str) -> None:
+        entry, catalog = self.entries.get(name), self.catalogs[dispatcher]
+        if (
+            self.scenario.way == scenarios.OWN_ZONE
+            and self.simulation.servers[name].zone != self.participants.dispatcher_zones[dispatcher]
+        ):
             return
-        others = [each for each in serve_catalog.members if each["id"] != name]
-        serve_catalog.replace([*others, self._reached(me, entry)] if entry is not None else others)
-
-    def _wrote(self, me: str, members: list[dict[str, Any]]) -> None:
-        """Discovery has written its list to a dispatcher."""
-        states = {each["id"]: STATES[each["phase"]] for each in members}
-        told = self.told[me]
-        news = {name: state for name, state in states.items() if told.get(name) != state}
-        news |= {name: EndpointState.REMOVED for name in told.keys() - states.keys()}
-        self.told[me] = states
-        if news:
-            self.record.note("listed", to=me, workers=news)
-
-    async def _happen(self, what: str, name: str) -> None:
-        """What becomes of a worker, as in the model."""
-        self.record.note("worker", name=name, what=what)
-        if what == "is to leave":
+        others = [other for other in catalog.members if other["id"] != name]
+        catalog.replace(
+            [*others, self._with_routed_address(dispatcher, entry)] if entry is not None else others
+        )
+
+    def _record_list(self, dispatcher: str, members: list[dict[str, Any]]) -> None:
+        """Record the changes of a list that discovery has written to a dispatcher."""
+        states = {entry["id"]: STATES[entry["phase"]] for entry in members}
+        previous = self.sent_states[dispatcher]
+        changes = {name: state for name, state in states.items() if previous.get(name) != state}
+        changes |= {name: EndpointState.REMOVED for name in previous.keys() - states.keys()}
+        self.sent_states[dispatcher] = states
+        if changes:
+            self.record.add_event("listed", to=dispatcher, workers=changes)
+
+    async def _change_server(self, change: str, name: str) -> None:
+        """Carry out a `ServerChange`, as the simulation does."""
+        self.record.add_event("worker", name=name, what=change)
+        if change == "is to leave":
             self.entries[name] = self.entries[name] | {"phase": "Terminating"}
-            self._change(name)
-        elif what == "falls silent":
-            self.stub_servers.silence(name)
-        elif what == "crashes":
+            self._announce_change(name)
+        elif change == "falls silent":
+            self.stub_servers.stop_responding(name)
+        elif change == "crashes":
             self.entries.pop(name, None)
             await self.stub_servers.crash(name)
-            self._change(name)
+            self._announce_change(name)
         else:
-            await self.stub_servers.shut(name)
-            one = self.stub_servers.workers[name]
-            one.start()
-            self.shots[name].clear()
+            await self.stub_servers.close_server(name)
+            server = self.stub_servers.workers[name]
+            server.start()
+            self.snapshots[name].clear()
             await self.open(name, time.time() * 1000.0)
-            one.warm_up(self.day.cold_from, self.day.cold_s * 1000.0)
-            self._change(name)
-
-    def trouble(self, begin: float) -> None:
-        """Set up what goes wrong from a moment on, as in the model."""
-        workers = self.stub_servers.workers
-        for at, name, cause, factor in self.simulation.troubles.speed_changes:
-            self.time.at(begin + at, functools.partial(workers[name].set_factor, cause, factor))
-        for at, what, name in self.simulation.troubles.worker_events:
-            self.time.at(begin + at, functools.partial(self._do, self._happen, what, name))
-        for each in self.day.troubles:
-            if each.kind in ("late reports", "late list"):
-                which = "reports_late" if each.kind == "late reports" else "list_late"
-                for at, late in ((each.from_s, each.size), (each.to_s, 0.0)):
-                    self.time.at(begin + at * 1000.0, functools.partial(setattr, self, which, late))
-
-    def _do(self, what: Callable[..., Awaitable[None]], *more: Any) -> None:
-        task = asyncio.ensure_future(what(*more))
+            server.warm_up(self.scenario.cold_from, self.scenario.cold_s * 1000.0)
+            self._announce_change(name)
+
+    def schedule_disturbances(self, begin: float) -> None:
+        """Schedule the scenario's disturbances, as in the simulation; `begin` is the start time in ms."""
+        servers = self.stub_servers.workers
+        for at, name, cause, factor in self.simulation.disturbances.speed_changes:
+            self.time.at(begin + at, functools.partial(servers[name].set_factor, cause, factor))
+        for at, change, name in self.simulation.disturbances.server_events:
+            self.time.at(begin + at, functools.partial(self._start_task, self._change_server, change, name))
+        for disturbance in self.scenario.troubles:
+            if disturbance.kind in ("late reports", "late list"):
+                attribute = "reports_late" if disturbance.kind == "late reports" else "list_late"
+                for at, delay_ms in ((disturbance.from_s, disturbance.size), (disturbance.to_s, 0.0)):
+                    self.time.at(begin + at * 1000.0, functools.partial(setattr, self, attribute, delay_ms))
+
+    def _start_task(self, action: Callable[..., Awaitable[None]], *arguments: Any) -> None:
+        task = asyncio.ensure_future(action(*arguments))
         self.tasks.add(task)
-        task.add_done_callback(self._done)
+        task.add_done_callback(self._task_done)
 
-    def _done(self, task: asyncio.Task) -> None:
+    def _task_done(self, task: asyncio.Task) -> None:
         self.tasks.discard(task)
         if not task.cancelled() and task.exception() is not None:
-            self.record.note("fault of the tool", text=repr(task.exception()))
+            self.record.add_event("fault of the tool", text=repr(task.exception()))
 
     # ---------------------------------------------------------------- processes
 
     async def start(self, name: str, first: bool = False) -> None:
-        """Start a dispatcher or an agent, and wait until it serves."""
-        if name in self.names.agents:
-            words = ("agent", "--config", f"{name}.toml", *(("--new-votes",) if first else ()))
-            await self.processes.run(name, "dunepulley", *words)
-            self.record.note("process", name=name, what="ready")
+        """Start a dispatcher or an agent; wait until a restarted dispatcher is ready.
+
+        `first` is true for the initial start, at which agents create their acceptor state.
+        """
+        if name in self.participants.agent_zones:
+            arguments = ("agent", "--config", f"{name}.toml", *(("--new-votes",) if first else ()))
+            await self.processes.run(name, "dunepulley", *arguments)
+            self.record.add_event("process", name=name, what="ready")
             return
         await self.processes.run(name, "dunepulley", "serve", "--config", f"{name}.json")
-        self.record.note("process", name=name, what="started")
+        self.record.add_event("process", name=name, what="started")
         if not first:
-            await self.serves(name)
+            await self.wait_until_ready(name)
 
-    async def serves(self, name: str) -> None:
-        """Wait until a dispatcher says that it takes work."""
+    async def wait_until_ready(self, name: str) -> None:
+        """Wait until a dispatcher's health check reports that it accepts requests."""
         process = self.processes.processes[name]
-        async with asyncio.timeout(READY_S):
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
                 if process.returncode is not None:
-                    raise RuntimeError(f"{name} ended: {self.processes.log(name).strip()[-200:]}")
+                    raise RuntimeError(
+                        f"{name} exited at its start: {self.processes.log(name).strip()[-200:]}"
+                    )
                 with contextlib.suppress(aiohttp.ClientError, OSError):
-                    async with self.session.get(f"http://127.0.0.1:{self.listen[name]}/_health") as told:
-                        if told.status == 200:
+                    async with self.session.get(
+                        f"http://127.0.0.1:{self.client_ports[name]}/_health"
+                    ) as response:
+                        if response.status == 200:
                             break
                 await asyncio.sleep(0.05)
         self.dispatchers.serving.add(name)
-        self.record.note("process", name=name, what="ready")
+        self.record.add_event("process", name=name, what="ready")
 
-    async def _wait(self, until: float) -> None:
+    async def _wait_until(self, until: float) -> None:
         await asyncio.sleep(max(0.0, until - asyncio.get_running_loop().time()))
 
     async def _kill(self, name: str, until: float) -> None:
         self.dispatchers.serving.discard(name)
         self.processes.signal(name, signal.SIGKILL)
-        self.record.note("process", name=name, what="killed")
+        self.record.add_event("process", name=name, what="killed")
         await self.processes.processes[name].wait()
-        await self._wait(until)
-        await self._again(name)
+        await self._wait_until(until)
+        await self._restart(name)
 
-    async def _end(self, name: str, until: float) -> None:
+    async def _terminate(self, name: str, until: float) -> None:
         self.dispatchers.serving.discard(name)
         self.processes.signal(name, signal.SIGTERM)
-        self.record.note("process", name=name, what="told to end")
+        self.record.add_event("process", name=name, what="told to end")
         code = await self.processes.processes[name].wait()
-        self.record.note("process", name=name, what="ended", code=code)
-        await self._again(name)
+        self.record.add_event("process", name=name, what="ended", code=code)
+        await self._restart(name)
 
-    async def _again(self, name: str) -> None:
-        """Start anew: who does has been told nothing yet."""
-        self.told[name] = {}
+    async def _restart(self, name: str) -> None:
+        """Restart a process; a restarted dispatcher has not received any endpoint list yet."""
+        self.sent_states[name] = {}
         await self.start(name)
 
     async def _stop(self, name: str, until: float) -> None:
         self.processes.signal(name, signal.SIGSTOP)
-        self.record.note("process", name=name, what="stopped")
-        await self._wait(until)
+        self.record.add_event("process", name=name, what="stopped")
+        await self._wait_until(until)
         self.processes.signal(name, signal.SIGCONT)
-        self.record.note("process", name=name, what="goes on")
+        self.record.add_event("process", name=name, what="goes on")
 
     async def run(self, settings: dict[str, Any]) -> dict[str, Any]:
-        """The whole run; nothing of it is left behind."""
+        """Carry out the run, and stop all processes and servers at its end."""
         self.record.begin = self.time.now
         async with contextlib.AsyncExitStack() as stack:
             self.session = await stack.enter_async_context(open_session())
             await stack.enter_async_context(self.stub_servers)
             await stack.enter_async_context(self.faults)
             stack.push_async_callback(self.processes.close)
-            for name in self.simulation.workers:
+            for name in self.simulation.servers:
                 await self.open(name, 0.0)
-            for name in self.names.homes:
-                here, self.discoveries[name] = await stack.enter_async_context(
+            for name in self.participants.dispatcher_zones:
+                catalog, self.discoveries[name] = await stack.enter_async_context(
                     serve_catalog(self.listed(name))
                 )
-                here.wrote = functools.partial(self._wrote, name)
-                self.catalogs[name] = here
+                catalog.on_written = functools.partial(self._record_list, name)
+                self.catalogs[name] = catalog
             write_configurations(self, settings)
-            for name in (*self.names.homes, *self.names.agents):
+            for name in (*self.participants.dispatcher_zones, *self.participants.agent_zones):
                 await self.start(name, first=True)
-            await asyncio.gather(*[self.serves(name) for name in self.names.homes])
+            await asyncio.gather(
+                *[self.wait_until_ready(name) for name in self.participants.dispatcher_zones]
+            )
             begin = asyncio.get_running_loop().time() + 0.1
-            self.record.note("clients begin")
-            self.trouble(begin * 1000.0)
-            self.faults.start(begin, {"kill": self._kill, "end": self._end, "stop": self._stop})
-            found = await self.clients.send_all(self.due, begin, self.session)
-            # What a day's faults still owe (a process that comes back) is waited for, and read with the rest.
+            self.record.add_event("clients begin")
+            self.schedule_disturbances(begin * 1000.0)
+            self.faults.start(begin, {"kill": self._kill, "end": self._terminate, "stop": self._stop})
+            results = await self.clients.send_all(self.requests, begin, self.session)
+            # Wait until all faults have ended, also those that restart a process after the last request.
             await asyncio.gather(*self.faults.tasks)
             for task in self.tasks:
                 task.cancel()
@@ -292,49 +321,51 @@
                 for name in self.dispatchers.serving
                 if self.processes.processes[name].returncode is not None
             ]
-        broken = check.broken_in(self.day, self.record.events)
-        broken += [f"crash: {name}: {self.processes.log(name).strip()[-200:]}" for name in crashed]
-        return found | {"broken": broken, "seed": self.seed}
+        violations = check.find_violations(self.scenario, self.record.events)
+        violations += [f"crash: {name}: {self.processes.log(name).strip()[-200:]}" for name in crashed]
+        return results | {"broken": violations, "seed": self.seed}
 
 
 def write_configurations(run: LoadRun, settings: dict[str, Any]) -> None:
-    """The files of dispatchers and agents."""
+    """Write the configuration files of the dispatchers and agents."""
     folder = run.processes.folder
-    common = run.day.way == scenarios.COMMON
-    for me, name in enumerate(run.names.homes):
-        agent = run.faults.through(name, faults.DISCOVERY, run.discoveries[name])
-        more: dict[str, Any] = {"listen": f"127.0.0.1:{run.listen[name]}", "discovery": agent}
+    common = run.scenario.way == scenarios.COMMON_PLAN
+    for dispatcher, name in enumerate(run.participants.dispatcher_zones):
+        discovery = run.faults.routed_address(name, faults.DISCOVERY, run.discoveries[name])
+        more: dict[str, Any] = {"listen": f"127.0.0.1:{run.client_ports[name]}", "discovery": discovery}
         more["known"] = {"revision": 1, "complete": True, "members": run.listed(name)}
         if common:
-            more |= {"console": f"127.0.0.1:{run.console[name]}", "plan": True}
-        told = told_of(run.day, run.seed, me, settings, **more)
-        (folder / f"{name}.json").write_text(json.dumps(told))
-    for name, zone in run.names.agents.items():
+            more |= {"console": f"127.0.0.1:{run.admin_ports[name]}", "plan": True}
+        document = dispatcher_configuration(run.scenario, run.seed, dispatcher, settings, **more)
+        (folder / f"{name}.json").write_text(json.dumps(document))
+    for name, zone in run.participants.agent_zones.items():
         (folder / f"{name}.toml").write_text(agent_configuration(run, name, zone))
-    if common and run.day.regions:
-        (folder / "regions.toml").write_text(regions_text(run.day))
+    if common and run.scenario.regions:
+        (folder / "regions.toml").write_text(regions_text(run.scenario))
 
 
 def agent_configuration(run: LoadRun, name: str, zone: str) -> str:
-    """The configuration of a zone's agent, a TOML text."""
-    lines = [f'listen = "127.0.0.1:{run.agents[name]}"', f'state = "{name}-drains.json"']
+    """Return the configuration of a zone's agent as TOML."""
+    lines = [f'listen = "127.0.0.1:{run.agent_ports[name]}"', f'state = "{name}-drains.json"']
     lines.append("answer_s = 1.0")
-    for one in [one for one, home in run.names.homes.items() if home == zone]:
-        console = run.faults.through(name, one, f"127.0.0.1:{run.console[one]}")
-        lines += ["[[dispatcher]]", f'name = "{one}"', f'console = "{console}"']
+    for dispatcher in [
+        dispatcher for dispatcher, home in run.participants.dispatcher_zones.items() if home == zone
+    ]:
+        address = run.faults.routed_address(name, dispatcher, f"127.0.0.1:{run.admin_ports[dispatcher]}")
+        lines += ["[[dispatcher]]", f'name = "{dispatcher}"', f'console = "{address}"']
     lines += ["[fleet]", f'name = "{name}"', f'votes = "{name}.votes"']
-    if run.day.regions:
+    if run.scenario.regions:
         lines.append('regions = "regions.toml"')
-    for other, port in run.agents.items():
+    for other, port in run.agent_ports.items():
         address = f"127.0.0.1:{port}"
         if other != name:
-            address = run.faults.through(name, other, address)
+            address = run.faults.routed_address(name, other, address)
         lines += ["[[fleet.member]]", f'name = "{other}"', f'address = "{address}"']
     return "\n".join(lines) + "\n"
 
 
 def regions_text(scenario: scenarios.Scenario) -> str:
-    """The operators' file of the day's regions."""
+    """Return the regions file of a scenario as TOML."""
     lines = []
     for region in simulated_regions(scenario.zones, scenario.regions).regions:
         lines += ["[[region]]", f'name = "{region.name}"']
@@ -342,60 +373,71 @@
     return "\n".join(lines) + "\n"
 
 
-def due_of(scenario: scenarios.Scenario, simulation: Simulation) -> dict[str, ClientRequest]:
-    """The items that the model would see, by id."""
+def scenario_requests(scenario: scenarios.Scenario, simulation: Simulation) -> dict[str, ClientRequest]:
+    """Return the requests of the simulated traffic, by id."""
     return {
-        wi: ClientRequest(
-            at, category.name, category.expiry_ms, work if scenario.hints else 0.0, 64, work, home
+        request_id: ClientRequest(
+            at,
+            request_class.name,
+            request_class.expiry_ms,
+            work if scenario.hints else 0.0,
+            64,
+            work,
+            dispatcher,
         )
-        for wi, at, category, work, home in simulation.planned
+        for request_id, at, request_class, work, dispatcher in simulation.planned_requests
     }
 
 
-def due_of_trace(
-    scenario: scenarios.Scenario, came: list[trace_format.RecordedRequest], seed: int
+def trace_requests(
+    scenario: scenarios.Scenario, trace: list[trace_format.RecordedRequest], seed: int
 ) -> dict[str, ClientRequest]:
-    """The items of a trace; what they run is their hint, or drawn from the day's category."""
-    draw = np.random.default_rng(seed)
-    known = {category.name: category for category in scenario.categories}
-    due = {}
-    for number, each in enumerate(came):
-        category = known.get(each.category)
-        if category is None:
-            raise trace_format.TraceError(f"line {number + 2}: the day has no category {each.category}")
-        drawn = category.work_ms * float(spread_out(draw.normal(), category.work_cv))
-        home = int(draw.integers(0, scenario.dispatchers))
-        work = each.hint or drawn
-        due[f"i{number}"] = ClientRequest(
-            each.at, each.category, each.budget, each.hint, each.size, work, home
+    """Return the requests of a trace, by id.
+
+    The run time of a request is the expected time that it was recorded with, or else drawn from its class.
+    """
+    rng = np.random.default_rng(seed)
+    request_classes = {request_class.name: request_class for request_class in scenario.categories}
+    requests = {}
+    for number, recorded in enumerate(trace):
+        request_class = request_classes.get(recorded.category)
+        if request_class is None:
+            raise trace_format.TraceError(
+                f"line {number + 2}: the scenario has no category {recorded.category}"
+            )
+        drawn_work = request_class.work_ms * float(spread_out(rng.normal(), request_class.work_cv))
+        dispatcher = int(rng.integers(0, scenario.dispatchers))
+        work = recorded.hint or drawn_work
+        requests[f"i{number}"] = ClientRequest(
+            recorded.at, recorded.category, recorded.budget, recorded.hint, recorded.size, work, dispatcher
         )
-    return due
+    return requests
 
 
-def nested(settings: dict[str, Any]) -> dict[str, Any]:
-    """Settings of dotted names as the file of a dispatcher holds them."""
-    told: dict[str, Any] = {}
+def nest_settings(settings: dict[str, Any]) -> dict[str, Any]:
+    """Return settings with dotted names in the nested form of a dispatcher's configuration file."""
+    document: dict[str, Any] = {}
     for name, value in settings.items():
         *path, last = name.split(".")
-        place = told
-        for part in path:
-            place = place.setdefault(part, {})
-        place[last] = list(value) if isinstance(value, tuple) else value
-    categories = told.pop("categories", {})
+        table = document
+        for key in path:
+            table = table.setdefault(key, {})
+        table[last] = list(value) if isinstance(value, tuple) else value
+    categories = document.pop("categories", {})
     categories.pop("count", None)
-    told["categories"] = [categories[number] for number in sorted(categories, key=int)]
-    return told
+    document["categories"] = [categories[number] for number in sorted(categories, key=int)]
+    return document
 
 
-def told_of(
-    scenario: scenarios.Scenario, seed: int, me: int, settings: dict[str, Any], **more: Any
+def dispatcher_configuration(
+    scenario: scenarios.Scenario, seed: int, dispatcher: int, settings: dict[str, Any], **more: Any
 ) -> dict[str, Any]:
-    """A dispatcher's configuration."""
+    """Return the configuration of a dispatcher; `more` adds top-level keys."""
     return {
-        "name": f"n{me}",
-        "seed": f"{seed * 1009 + me:x}",
+        "name": f"n{dispatcher}",
+        "seed": f"{seed * 1009 + dispatcher:x}",
         "limits": {"sockets": SOCKETS},
-        "settings": nested(scenarios.settings_of(scenario, me) | settings),
+        "settings": nest_settings(scenarios.router_settings(scenario, dispatcher) | settings),
     } | more
 
 
@@ -403,86 +445,91 @@
     scenario: scenarios.Scenario,
     seed: int,
     settings: dict[str, Any],
-    came: list[trace_format.RecordedRequest] | None,
+    trace: list[trace_format.RecordedRequest] | None,
     record: tuple[str, str] | None = None,
 ) -> dict[str, Any]:
-    """One run; what clients saw, and what went against a rule.
+    """Run a scenario or a trace once; return the clients' results and the violations of the rules.
 
-    `record` is where to write it down, and of which day; raises RecordError where that cannot be done.
+    `record` is the path of the record to write and the path of the scenario file. Raises RecordError where
+    the record cannot be written.
     """
     simulation = Simulation(scenario, seed)
-    due = due_of(scenario, simulation) if came is None else due_of_trace(scenario, came, seed)
+    requests = (
+        scenario_requests(scenario, simulation) if trace is None else trace_requests(scenario, trace, seed)
+    )
     with tempfile.TemporaryDirectory() as folder:
-        one = LoadRun(scenario, seed, due, simulation, Path(folder))
+        load_run = LoadRun(scenario, seed, requests, simulation, Path(folder))
         task = asyncio.current_task()
-        # Told to end by whom it may be, it still ends what it started.
+        # On SIGTERM the run still stops the processes that it started.
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
         try:
-            return await one.run(settings)
+            return await load_run.run(settings)
         finally:
             asyncio.get_running_loop().remove_signal_handler(signal.SIGTERM)
             if record is not None:
-                one.record.write(*record, seed)
+                load_run.record.write(*record, seed)
 
 
-def run(chosen: argparse.Namespace) -> int:
-    """Carry out `dunepulley load`; 1 where a rule was broken, 2 where words or files cannot be used."""
+def run(options: argparse.Namespace) -> int:
+    """Run `dunepulley load`; return 1 where a rule was violated, 2 where an argument or file is invalid."""
     try:
-        scenario = scenarios.read(chosen.day)
-        settings = compare.read_settings(chosen.settings) if chosen.settings else {}
-        came = trace_format.read_trace(chosen.trace) if chosen.trace else None
-        if chosen.check:
-            return _tell_broken(check.broken_in(scenario, read(chosen.check)))
-        _check_playable(scenario, came, chosen)
+        scenario = scenarios.read(options.day)
+        settings = compare.read_settings(options.settings) if options.settings else {}
+        trace = trace_format.read_trace(options.trace) if options.trace else None
+        if options.check:
+            return _print_violations(check.find_violations(scenario, read(options.check)))
+        _check_runnable(scenario, trace, options)
     except (scenarios.ScenarioError, trace_format.TraceError, RecordError, ValueError) as problem:
         print(f"dunepulley: {problem}", file=sys.stderr)
         return 2
-    found = []
-    for seed in chosen.seeds:
-        begun = time.monotonic()
+    results = []
+    for seed in options.seeds:
+        started_s = time.monotonic()
         try:
-            record = (chosen.record, chosen.day) if chosen.record else None
-            found.append(asyncio.run(run_scenario(scenario, seed, settings, came, record)))
+            record = (options.record, options.day) if options.record else None
+            results.append(asyncio.run(run_scenario(scenario, seed, settings, trace, record)))
         except (trace_format.TraceError, RecordError) as problem:
             print(f"dunepulley: {problem}", file=sys.stderr)
             return 2
         except (asyncio.CancelledError, KeyboardInterrupt):
-            print("dunepulley: told to end; what was started has ended", file=sys.stderr)
+            print("dunepulley: interrupted; all processes that were started have ended", file=sys.stderr)
             return 2
-        if not chosen.json:
-            _print_run(seed, found[-1], time.monotonic() - begun)
-    if chosen.json:
-        print(json.dumps(found, indent=2))
-    return 1 if any([one["broken"] for one in found]) else 0
+        if not options.json:
+            _print_run(seed, results[-1], time.monotonic() - started_s)
+    if options.json:
+        print(json.dumps(results, indent=2))
+    return 1 if any([result["broken"] for result in results]) else 0
 
 
-def _check_playable(
-    scenario: scenarios.Scenario, came: list[trace_format.RecordedRequest] | None, chosen: argparse.Namespace
+def _check_runnable(
+    scenario: scenarios.Scenario,
+    trace: list[trace_format.RecordedRequest] | None,
+    options: argparse.Namespace,
 ) -> None:
-    """Raise ValueError where the day cannot be played as chosen."""
-    for seed in chosen.seeds:
-        faults.planned(scenario, seed)
+    """Raise ValueError where the scenario cannot be run with these options."""
+    for seed in options.seeds:
+        faults.plan_faults(scenario, seed)
     longest = max(
-        [scenario.seconds, came[-1].at / 1000.0 if came else 0.0, *[f.to_s for f in scenario.faults]]
+        [scenario.seconds, trace[-1].at / 1000.0 if trace else 0.0, *[f.to_s for f in scenario.faults]]
     )
-    if longest > MOST_S:
-        raise ValueError(f"{longest:g} s are more than the {MOST_S:g} s that are played")
-    if chosen.record and len(chosen.seeds) > 1:
-        raise ValueError("a record is of one seed")
-    if scenario.way == scenarios.COMMON and scenario.dispatchers < scenario.zones:
-        raise ValueError(f"{chosen.day}: each zone's agent needs a dispatcher")
-
-
-def _print_run(seed: int, found: dict[str, Any], took_s: float) -> None:
-    print(f"seed {seed:<5} payoff {found['payoff']:.4f}  {found['answers']}", end="  ")
-    print(f"answered after {found['answered after ms']} ms", end=", ")
-    print(f"sent late by {found['sent late by ms']} ms, {took_s:.0f} s")
-    for each in found["broken"]:
-        print(f"  broken, {each}")
-
-
-def _tell_broken(broken: list[str]) -> int:
-    for each in broken:
-        print(f"broken, {each}")
-    print(f"{len(broken)} breaks told")
-    return 1 if broken else 0
+    if longest > MAX_RUN_S:
+        raise ValueError(f"{longest:g} s are more than the {MAX_RUN_S:g} s that a run may take")
+    if options.record and len(options.seeds) > 1:
+        raise ValueError("--record: expected one seed, as a record holds one run")
+    if scenario.way == scenarios.COMMON_PLAN and scenario.dispatchers < scenario.zones:
+        raise ValueError(f"{options.day}: dispatchers: expected at least one for the agent of each zone")
+
+
+def _print_run(seed: int, results: dict[str, Any], duration_s: float) -> None:
+    print(f"seed {seed:<5} payoff {results['payoff']:.4f}  {results['answers']}", end="  ")
+    print(f"answered after {results['answered after ms']} ms", end=", ")
+    print(f"sent late by {results['sent late by ms']} ms, {duration_s:.0f} s")
+    for violation in results["broken"]:
+        print(f"  broken, {violation}")
+
+
+def _print_violations(violations: list[str]) -> int:
+    for violation in violations:
+        print(f"broken, {violation}")
+    print(f"{len(violations)} breaks told")
+    return 1 if violations else 0
--- a/dunepulley/load/stub_servers.py
+++ b/dunepulley/load/stub_servers.py
@@ -1,6 +1,6 @@
-"""Stub servers: the model's workers in real time, behind sockets, speaking the workers' protocol.
+"""Stub servers: server models in real time behind HTTP sockets, with the protocol of real endpoints.
 
-One process holds any number of them. They serve the load tool, the measurements in `bench/` and their tests.
+One process can run any number of them. The load tool, the benchmarks in `bench/` and their tests use them.
 """
 
 from __future__ import annotations
@@ -15,47 +15,54 @@
 from dunepulley.load.local import RealTime, send_callback, serve
 from dunepulley.model.server import Job, ModelServer
 
-# Before a callback that was not answered is sent again.
-PAUSE_S = 0.05
-# What callbacks tell of what a job tells.
+# Pause before a callback that was not acknowledged is sent again.
+RETRY_PAUSE_S = 0.05
+# The states that callbacks report for the events of a job.
 STATES = {"began": "started", "finished": "done"}
 
 
-class Site(Protocol):
-    """What stub servers are part of: whose work it is, and who writes down what happens."""
+class StubServerHost(Protocol):
+    """The program that runs stub servers: it knows the requests' work and records events."""
 
     def find_work_ms(self, request_id: str, headers: Any) -> float | None:
-        """What an item takes at a worker of speed 1, in ms; none for an id that no client sent."""
+        """Return the run time of a request at a server of speed 1, in ms; None for an unknown id."""
 
-    def callback_address(self, request_id: str, worker: str) -> str:
-        """The address at which the dispatcher of an item hears of it, from this worker."""
+    def callback_address(self, request_id: str, server: str) -> str:
+        """Return the address at which the request's dispatcher receives callbacks from this server."""
 
-    def record_event(self, what: str, worker: str, request_id: str, work: float) -> None:
-        """Of a hand-off: 'arrived', 'full', 'began', 'finished', 'lost', 'given up', or 'unheard'."""
+    def record_event(self, event: str, server: str, request_id: str, work: float) -> None:
+        """Record an event of an attempt.
 
-    def load_report(self, worker: ModelServer) -> dict[str, float] | None:
-        """The load report that the end of an item carries, if any."""
+        `event` is 'arrived', 'full' (rejected, as the queue is full), 'began', 'finished', 'lost', 'given up'
+        (cancelled) or 'unheard' (sent to an unresponsive server).
+        """
+
+    def load_report(self, server: ModelServer) -> dict[str, float] | None:
+        """Return the load report for the callback at the end of an attempt, if any."""
 
 
 class StubServers:
-    """Workers behind sockets; whoever enters them closes them."""
+    """Server models behind sockets, used as an async context manager.
+
+    `cancels` is whether running jobs can be cancelled, `reports_start` whether callbacks report their start.
+    """
 
     def __init__(
         self,
-        site: Site,
+        host: StubServerHost,
         time: RealTime,
         cancels: bool = True,
         reports_start: bool = True,
-        retry_pause_s: float = PAUSE_S,
+        retry_pause_s: float = RETRY_PAUSE_S,
     ) -> None:
-        self.site, self.time = site, time
+        self.host, self.time = host, time
         self.cancels, self.reports_start, self.retry_pause_s = cancels, reports_start, retry_pause_s
         self.workers: dict[str, ModelServer] = {}
         self.addresses: dict[str, str] = {}
         self.jobs: dict[tuple[str, str], Job] = {}
-        self.servers: dict[str, tuple[web.Server, web.ServerRunner]] = {}
-        # Those whose machines have vanished, and what ends the wait of who calls them.
-        self.silent: dict[str, asyncio.Event] = {}
+        self.http_servers: dict[str, tuple[web.Server, web.ServerRunner]] = {}
+        # Unresponsive servers, with the event that ends the wait of their open requests.
+        self.unresponsive: dict[str, asyncio.Event] = {}
         self.tasks: set[asyncio.Task] = set()
 
     async def __aenter__(self) -> StubServers:
@@ -66,93 +73,93 @@
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
-        for name in list(self.servers):
-            await self.shut(name)
+        for name in list(self.http_servers):
+            await self.close_server(name)
         await self.session.close()
 
-    # ---------------------------------------------------------------- their lives
+    # ---------------------------------------------------------------- start and stop
 
-    async def open(self, worker: ModelServer, port: int = 0) -> str:
-        """Have a worker listen, at a port of its own or at this one; its address."""
-        self.workers[worker.name] = worker
-        server = web.Server(functools.partial(self._serve, worker), access_log=None)
-        runner, address = await serve(server, port)
-        self.servers[worker.name] = server, runner
-        self.addresses[worker.name] = address
+    async def open(self, server: ModelServer, port: int = 0) -> str:
+        """Have a server listen on a port, by default a free one; return its address."""
+        self.workers[server.name] = server
+        http_server = web.Server(functools.partial(self._serve, server), access_log=None)
+        runner, address = await serve(http_server, port)
+        self.http_servers[server.name] = http_server, runner
+        self.addresses[server.name] = address
         return address
 
-    async def shut(self, name: str) -> None:
-        """End a worker's process: connections break, and new ones are refused."""
-        server, runner = self.servers.pop(name, (None, None))
-        if name in self.silent:
-            self.silent.pop(name).set()
-        if server is not None:
-            for handler in list(server.connections):
+    async def close_server(self, name: str) -> None:
+        """Stop a server's process: open connections are reset, and new ones refused."""
+        http_server, runner = self.http_servers.pop(name, (None, None))
+        if name in self.unresponsive:
+            self.unresponsive.pop(name).set()
+        if http_server is not None:
+            for handler in list(http_server.connections):
                 if handler.transport is not None:
                     handler.transport.abort()
             await runner.cleanup()
 
     async def crash(self, name: str) -> None:
-        """A worker dies, and all that it has with it; its machine's agent tells of that."""
+        """Crash a server: its jobs are lost, and callbacks report that, as an agent of its machine would."""
         self.workers[name].crash()
-        await self.shut(name)
+        await self.close_server(name)
 
-    def silence(self, name: str) -> None:
-        """A worker's machine vanishes: connections stay open and nothing is answered."""
-        self.silent[name] = asyncio.Event()
-        self.workers[name].silence()
+    def stop_responding(self, name: str) -> None:
+        """Make a server unresponsive, as after a failure of its machine: connections stay open."""
+        self.unresponsive[name] = asyncio.Event()
+        self.workers[name].stop_responding()
 
-    # ---------------------------------------------------------------- hand-offs
+    # ---------------------------------------------------------------- attempts
 
-    async def _serve(self, worker: ModelServer, request: web.BaseRequest) -> web.Response:
-        if worker.name in self.silent:
-            self.site.record_event("unheard", worker.name, request.headers.get("X-Call-Id", ""), 0.0)
-            await self.silent[worker.name].wait()
-            return web.Response(status=503)  # to nobody: its connection is broken by now
+    async def _serve(self, server: ModelServer, request: web.BaseRequest) -> web.Response:
+        if server.name in self.unresponsive:
+            self.host.record_event("unheard", server.name, request.headers.get("X-Call-Id", ""), 0.0)
+            await self.unresponsive[server.name].wait()
+            return web.Response(status=503)  # never received: the connection is closed by now
         if request.method == "DELETE":
             request_id = request.path.rpartition("/")[2]
-            job = self.jobs.get((worker.name, request_id))
-            # Also one that has not been read yet: its connection is closed, and it may overtake it.
-            self.site.record_event("given up", worker.name, request_id, 0.0)
-            if job is not None and worker.drop(job, self.cancels):
-                del self.jobs[worker.name, request_id]
+            job = self.jobs.get((server.name, request_id))
+            # Recorded even if the attempt has not been read yet: the cancellation may overtake it.
+            self.host.record_event("given up", server.name, request_id, 0.0)
+            if job is not None and server.drop(job, self.cancels):
+                del self.jobs[server.name, request_id]
             return web.Response(status=204)
         if request.method != "POST":
             return web.Response(status=404)
         await request.read()
         request_id = request.headers.get("X-Call-Id", "")
-        work = self.site.find_work_ms(request_id, request.headers)
+        work = self.host.find_work_ms(request_id, request.headers)
         if work is None:
             return web.Response(status=400)
-        self.site.record_event("arrived", worker.name, request_id, work)
-        job = Job(request_id, work, 1.0, functools.partial(self._tell, worker, request_id, work))
-        # Known before it begins: its first word may come at once.
-        self.jobs[worker.name, request_id] = job
-        if not worker.offer(job):
-            del self.jobs[worker.name, request_id]
-            self.site.record_event("full", worker.name, request_id, work)
+        self.host.record_event("arrived", server.name, request_id, work)
+        job = Job(request_id, work, 1.0, functools.partial(self._report_job_event, server, request_id, work))
+        # Added before `offer`, which may report the job's start immediately.
+        self.jobs[server.name, request_id] = job
+        if not server.offer(job):
+            del self.jobs[server.name, request_id]
+            self.host.record_event("full", server.name, request_id, work)
             return web.Response(status=503, headers={"X-Rejected": "1"})
         return web.Response(status=202)
 
-    def _tell(self, worker: ModelServer, request_id: str, work: float, what: str) -> None:
-        self.site.record_event(what, worker.name, request_id, work)
-        if what == "began" and not self.reports_start:
+    def _report_job_event(self, server: ModelServer, request_id: str, work: float, event: str) -> None:
+        self.host.record_event(event, server.name, request_id, work)
+        if event == "began" and not self.reports_start:
             return
-        told: dict[str, Any] = {"id": request_id, "from": worker.name, "state": STATES.get(what, "lost")}
-        if what == "finished":
-            told["result"] = "made"
-            report = self.site.load_report(worker)
+        document: dict[str, Any] = {"id": request_id, "from": server.name, "state": STATES.get(event, "lost")}
+        if event == "finished":
+            document["result"] = "made"
+            report = self.host.load_report(server)
             if report is not None:
-                told["load"] = report
-        if what != "began":
-            self.jobs.pop((worker.name, request_id), None)
-        address = self.site.callback_address(request_id, worker.name)
-        task = asyncio.create_task(send_callback(self.session, address, told, self.retry_pause_s))
+                document["load"] = report
+        if event != "began":
+            self.jobs.pop((server.name, request_id), None)
+        address = self.host.callback_address(request_id, server.name)
+        task = asyncio.create_task(send_callback(self.session, address, document, self.retry_pause_s))
         self.tasks.add(task)
         task.add_done_callback(self.tasks.discard)
 
 
-def load_report_fields(worker: ModelServer) -> dict[str, float]:
-    """A worker's figures as a load report names them."""
-    told = worker.report()
-    return {"qps": told["rate"], "queue": told["queue"], "x0": told["x0"]}
+def load_report_fields(server: ModelServer) -> dict[str, float]:
+    """Return a server's load report with the field names of the load report protocol."""
+    report = server.report()
+    return {"qps": report["rate"], "queue": report["queue"], "x0": report["x0"]}
--- a/dunepulley/load_reports.py
+++ b/dunepulley/load_reports.py
@@ -1,7 +1,7 @@
-"""Load reports of endpoints: the kit's field names and the names that this project uses for them.
+"""Load reports of endpoints: parsing, and the internal names for the field names that endpoints use.
 
-A report comes with an answer, a callback, a health check or, in the simulator, with the end of an attempt.
-Field names that are not listed here, as `x0`, pass unchanged.
+A report arrives with a response, a callback, a health check or, in the simulator, the end of an attempt.
+Field names that are not listed here, such as `x0`, are kept.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 
 
 def parse_report(fields: dict[str, object]) -> dict[str, float]:
-    """Return a load report by our field names; values that are no numbers are skipped."""
+    """Return a load report with internal field names; values that are not numbers are skipped."""
     report = {}
     for name, value in fields.items():
         try:
@@ -29,9 +29,9 @@
 
 
 def parse_report_text(text: str | None, separator: str) -> dict[str, float] | None:
-    """Return a load report written as `name<separator>value` pairs divided by commas.
+    """Parse a load report of comma-separated `name<separator>value` pairs.
 
-    None where there is no text. Values that are no numbers are skipped.
+    Returns None where there is no text. Values that are not numbers are skipped.
     """
     if not text:
         return None
--- a/dunepulley/model/__init__.py
+++ b/dunepulley/model/__init__.py
@@ -1,1 +1,1 @@
-"""A fleet in simulated time round the decision module, to try designs at sizes that sockets do not reach."""
+"""Discrete-event simulation of a fleet around the routing package, for sizes beyond what sockets allow."""
--- a/dunepulley/model/compare.py
+++ b/dunepulley/model/compare.py
@@ -1,4 +1,4 @@
-"""Days played with many seeds, and two ways of deciding compared on the same ones."""
+"""Runs scenarios with many seeds, and compares two variants of the router on the same seeds."""
 
 from __future__ import annotations
 
@@ -17,67 +17,77 @@
 from dunepulley.model.simulation import Simulation
 from dunepulley.routing.router import Router
 
-# Resamples of the seeds; more moves an end of the interval by less than what is printed.
+# Bootstrap resamples of the seeds; more change the ends of the interval by less than the printed precision.
 RESAMPLES = 10_000
+# Confidence level of the interval.
 LEVEL = 0.95
 
 
 class Variant(NamedTuple):
-    """One way of deciding: settings over the day's own, and the path of another routing package, if any."""
+    """A variant of the router: settings that override the scenario's, and optionally another routing package.
+
+    `module` is the path of that package, or empty for the running version.
+    """
 
     settings: dict[str, Any]
     module: str = ""
 
 
-def run_scenario(scenario: scenarios.Scenario, seed: int, way: Variant) -> dict[str, Any]:
-    """One day with one seed."""
-    build = load_router(way.module) if way.module else Router
-    return Simulation(scenario, seed, build, way.settings).run() | {"seed": seed}
+def run_scenario(scenario: scenarios.Scenario, seed: int, variant: Variant) -> dict[str, Any]:
+    """Run a scenario with one seed, and return its results."""
+    make_router = load_router(variant.module) if variant.module else Router
+    return Simulation(scenario, seed, make_router, variant.settings).run() | {"seed": seed}
 
 
 def run_all(
-    scenario: scenarios.Scenario, seeds: list[int], ways: list[Variant], processes: int
+    scenario: scenarios.Scenario, seeds: list[int], variants: list[Variant], processes: int
 ) -> list[list[dict[str, Any]]]:
-    """Every seed with every way, in order, over some processes."""
-    jobs = [(scenario, seed, way) for way in ways for seed in seeds]
+    """Run every variant with every seed in parallel processes, and return the results by variant and seed."""
+    jobs = [(scenario, seed, variant) for variant in variants for seed in seeds]
     if processes <= 1:
-        found = [run_scenario(*job) for job in jobs]
+        results = [run_scenario(*job) for job in jobs]
     else:
         with ProcessPoolExecutor(processes) as pool:
-            found = list(pool.map(run_scenario, *zip(*jobs, strict=True)))
-    return [found[at : at + len(seeds)] for at in range(0, len(found), len(seeds))]
+            results = list(pool.map(run_scenario, *zip(*jobs, strict=True)))
+    return [results[at : at + len(seeds)] for at in range(0, len(results), len(seeds))]
+
 
+def bootstrap_interval(values: list[float], count: int = 0) -> tuple[float, float, float]:
+    """Return the mean of the values, and the ends of its 95% confidence interval by a bootstrap.
+
+    With `count`, the interval is that of the mean of `count` values.
+    """
+    samples = np.asarray(values, dtype=float)
+    draws = np.random.default_rng(0).integers(0, len(samples), (RESAMPLES, count or len(samples)))
+    low, high = np.percentile(samples[draws].mean(axis=1), [50.0 * (1 - LEVEL), 50.0 * (1 + LEVEL)])
+    return float(samples.mean()), float(low), float(high)
 
-def bootstrap_interval(figures: list[float], count: int = 0) -> tuple[float, float, float]:
-    """The mean, and where it (or that of `count` of them) lies with 95%, by a bootstrap over the seeds."""
-    some = np.asarray(figures, dtype=float)
-    draws = np.random.default_rng(0).integers(0, len(some), (RESAMPLES, count or len(some)))
-    low, high = np.percentile(some[draws].mean(axis=1), [50.0 * (1 - LEVEL), 50.0 * (1 + LEVEL)])
-    return float(some.mean()), float(low), float(high)
 
+def compare_runs(runs_a: list[dict[str, Any]], runs_b: list[dict[str, Any]]) -> dict[str, Any]:
+    """Compare the results of two variants on the same seeds.
 
-def compared(one: list[dict[str, Any]], two: list[dict[str, Any]]) -> dict[str, Any]:
-    """Two ways on the same seeds: what each earns, the difference with its interval, and what that says."""
-    pairs = list(zip(one, two, strict=True))
+    Returns the mean payoff of each, the difference with its confidence interval, and a conclusion in words.
+    """
+    pairs = list(zip(runs_a, runs_b, strict=True))
     assert all([a["seed"] == b["seed"] for a, b in pairs]), "not the same seeds"
-    broken = [f"{name}, seed {run['seed']}: {each}" for name, some in (("a", one), ("b", two))
-              for run in some for each in run["broken"]]  # fmt: skip
+    violations = [f"{name}, seed {run['seed']}: {violation}" for name, runs in (("a", runs_a), ("b", runs_b))
+              for run in runs for violation in run["broken"]]  # fmt: skip
     mean, low, high = bootstrap_interval([b["payoff"] - a["payoff"] for a, b in pairs])
-    if broken:
-        says = "a rule is broken: the comparison counts for nothing"
+    if violations:
+        conclusion = "a rule is broken: the comparison counts for nothing"
     elif len(pairs) < 3:
-        says = "too few seeds to say anything"
+        conclusion = "too few seeds to say anything"
     elif low > 0.0 or high < 0.0:
-        says = f"b is {'better' if low > 0.0 else 'worse'}"
+        conclusion = f"b is {'better' if low > 0.0 else 'worse'}"
     else:
-        says = f"no difference seen; one of {max(abs(low), abs(high)):.4f} could still be"
+        conclusion = f"no difference seen; one of {max(abs(low), abs(high)):.4f} could still be"
     return {
-        "a": bootstrap_interval([run["payoff"] for run in one]),
-        "b": bootstrap_interval([run["payoff"] for run in two]),
+        "a": bootstrap_interval([run["payoff"] for run in runs_a]),
+        "b": bootstrap_interval([run["payoff"] for run in runs_b]),
         "difference": (mean, low, high),
         "seeds": len(pairs),
-        "broken": broken,
-        "says": says,
+        "broken": violations,
+        "says": conclusion,
     }
 
 
@@ -85,95 +95,101 @@
 
 
 def read_settings(path: str) -> dict[str, Any]:
-    """Settings of the router in its own words, from a TOML file; tables are joined to names by points.
+    """Read router settings from a TOML file, as a flat map with dotted names.
 
-    Raises `scenarios.ScenarioError` where the file cannot be read or holds something else.
+    Raises `scenarios.ScenarioError` where the file cannot be read or holds other values.
     """
     try:
         with Path(path).open("rb") as file:
-            return _flattened("", tomllib.load(file))
+            return _flatten("", tomllib.load(file))
     except OSError as problem:
         raise scenarios.ScenarioError(f"cannot read {path}: {problem.strerror}") from problem
     except (tomllib.TOMLDecodeError, UnicodeDecodeError, ValueError) as problem:
         raise scenarios.ScenarioError(f"{path}: {problem}") from problem
 
 
-def _flattened(name: str, value: Any) -> dict[str, Any]:
-    """The settings below a name; raises ValueError where one is of no use."""
+def _flatten(name: str, value: Any) -> dict[str, Any]:
+    """Return the settings below a name; raises ValueError for a value of another type."""
     if isinstance(value, dict):
         settings: dict[str, Any] = {}
-        for inner, each in value.items():
-            settings |= _flattened(f"{name}.{inner}" if name else inner, each)
+        for inner, item in value.items():
+            settings |= _flatten(f"{name}.{inner}" if name else inner, item)
         return settings
     if isinstance(value, bool | str):
         return {name: value}
     if isinstance(value, int | float):
         return {name: float(value)}
-    raise ValueError(f"{name} is neither a number, a text nor true or false")
+    raise ValueError(f"{name}: expected a number, a string or a boolean")
+
 
+def run(options: argparse.Namespace) -> int:
+    """Run `model` or `compare`.
 
-def run(chosen: argparse.Namespace) -> int:
-    """Carry out one of them; 1 where a rule was broken, 2 where the words or files cannot be used."""
+    Returns 1 where a rule was violated, 2 where an argument or file is invalid.
+    """
     try:
-        scenario = _simulated_day(chosen.day)
-        ways = _ways(chosen)
+        scenario = _read_simulated_scenario(options.day)
+        variants = _variants(options)
     except (scenarios.ScenarioError, ValueError) as problem:
         print(f"dunepulley: {problem}", file=sys.stderr)
         return 2
-    found = run_all(scenario, chosen.seeds, ways, chosen.processes)
-    if chosen.command == "model":
-        return _print_runs(found[0], chosen.json)
-    return _print_comparison(found, chosen.json)
+    results = run_all(scenario, options.seeds, variants, options.processes)
+    if options.command == "model":
+        return _print_runs(results[0], options.json)
+    return _print_comparison(results, options.json)
 
 
-def _simulated_day(path: str) -> scenarios.Scenario:
-    """A day that can be simulated; raises ValueError where it has faults of sockets."""
+def _read_simulated_scenario(path: str) -> scenarios.Scenario:
+    """Read a scenario for the simulation; raises ValueError where it has faults, which need sockets."""
     scenario = scenarios.read(path)
     if scenario.faults:
-        raise ValueError(f"{path}: fault {scenario.faults[0].kind} can be played on sockets only (load)")
+        raise ValueError(f"{path}: fault {scenario.faults[0].kind} is supported by the load command only")
     return scenario
 
 
-def _ways(chosen: argparse.Namespace) -> list[Variant]:
-    """The ways that were chosen; raises ValueError or UnusableError where one cannot be loaded."""
-    files = [chosen.settings] if chosen.command == "model" else [chosen.a, chosen.b]
-    modules = [""] if chosen.command == "model" else [chosen.a_module, chosen.b_module]
-    ways = [
+def _variants(options: argparse.Namespace) -> list[Variant]:
+    """Return the variants of the command line.
+
+    Raises ValueError or ScenarioError where one cannot be loaded.
+    """
+    files = [options.settings] if options.command == "model" else [options.a, options.b]
+    modules = [""] if options.command == "model" else [options.a_module, options.b_module]
+    variants = [
         Variant(read_settings(file) if file else {}, module)
         for file, module in zip(files, modules, strict=True)
     ]
-    for way in ways:
-        if way.module:
-            load_router(way.module)
-    return ways
+    for variant in variants:
+        if variant.module:
+            load_router(variant.module)
+    return variants
 
 
-def _print_comparison(found: list[list[dict[str, Any]]], as_json: bool) -> int:
-    """Print what two ways came to; the exit code."""
-    told = compared(*found)
+def _print_comparison(results: list[list[dict[str, Any]]], as_json: bool) -> int:
+    """Print the comparison of two variants; return the exit code."""
+    summary = compare_runs(*results)
     if as_json:
-        print(json.dumps(told | {"runs": found}, indent=2))
-        return 1 if told["broken"] else 0
+        print(json.dumps(summary | {"runs": results}, indent=2))
+        return 1 if summary["broken"] else 0
     for name in ("a", "b", "difference"):
-        mean, low, high = told[name]
+        mean, low, high = summary[name]
         print(f"{name:<11} {mean:+.4f}  from {low:+.4f} to {high:+.4f}")
-    print(f"over {told['seeds']} seeds: {told['says']}")
-    for each in told["broken"]:
-        print(each)
-    return 1 if told["broken"] else 0
+    print(f"over {summary['seeds']} seeds: {summary['says']}")
+    for violation in summary["broken"]:
+        print(violation)
+    return 1 if summary["broken"] else 0
 
 
 def _print_runs(runs: list[dict[str, Any]], as_json: bool) -> int:
-    """Print what the seeds of one way came to; the exit code."""
-    broken = any([one["broken"] for one in runs])
+    """Print the results of one variant by seed; return the exit code."""
+    violations = any([run["broken"] for run in runs])
     if as_json:
         print(json.dumps(runs, indent=2))
-        return 1 if broken else 0
-    for one in runs:
-        counts = "  ".join([f"{name} {one[name]}" for name in ("in time", "late", "deferred", "written off")])
-        print(f"seed {one['seed']:<5} payoff {one['payoff']:.4f}  {counts}  wasted {one['wasted']:.3f}")
-        for each in one["broken"]:
-            print(f"  broken, {each}")
-    mean, low, high = bootstrap_interval([one["payoff"] for one in runs])
+        return 1 if violations else 0
+    for run in runs:
+        counts = "  ".join([f"{name} {run[name]}" for name in ("in time", "late", "deferred", "written off")])
+        print(f"seed {run['seed']:<5} payoff {run['payoff']:.4f}  {counts}  wasted {run['wasted']:.3f}")
+        for violation in run["broken"]:
+            print(f"  broken, {violation}")
+    mean, low, high = bootstrap_interval([run["payoff"] for run in runs])
     print(f"payoff in time {mean:.4f}, from {low:.4f} to {high:.4f} over {len(runs)} seeds")
-    return 1 if broken else 0
+    return 1 if violations else 0
--- a/dunepulley/model/endpoint_lists.py
+++ b/dunepulley/model/endpoint_lists.py
@@ -1,11 +1,11 @@
-"""What each simulated dispatcher is told of the list of endpoints, and when."""
+"""The endpoint list of a simulation, and its delayed updates to each dispatcher."""
 
 from __future__ import annotations
 
 import functools
 from typing import TYPE_CHECKING
 
-from dunepulley.model.scenario import ALONE
+from dunepulley.model.scenario import ALL_ZONES
 from dunepulley.routing.events import EndpointEntry, EndpointListUpdate, EndpointState, ListUpdateKind
 
 if TYPE_CHECKING:
@@ -13,72 +13,84 @@
 
 
 class EndpointLists:
-    """The list of a world's workers, which each dispatcher hears of a while after it changed."""
+    """The state of each server, sent to every dispatcher some time after a change."""
 
     def __init__(self, simulation: Simulation) -> None:
         self.simulation = simulation
-        self.scenario, self.draw = simulation.scenario, simulation.draw["troubles"]
-        self.states = dict.fromkeys(simulation.workers, EndpointState.READY)
-        # What each dispatcher's list says, where more than the list decides what it sees.
-        self.known: list[dict[str, EndpointEntry]] = [{} for _ in range(self.scenario.dispatchers)]
-        self.seen: list[frozenset[str]] = [frozenset()] * self.scenario.dispatchers
+        self.scenario, self.rng = simulation.scenario, simulation.rng["troubles"]
+        self.states = dict.fromkeys(simulation.servers, EndpointState.READY)
+        # Per dispatcher: the entries that it was sent, and the endpoints that the plan or its zone allows.
+        # Used unless every dispatcher uses all zones.
+        self.listed: list[dict[str, EndpointEntry]] = [{} for _ in range(self.scenario.dispatchers)]
+        self.usable: list[frozenset[str]] = [frozenset()] * self.scenario.dispatchers
 
-    def tell_all(self) -> None:
-        """Tell every dispatcher its first list."""
-        for me in range(self.scenario.dispatchers):
-            self._tell_workers(me, ListUpdateKind.FULL, list(self.states))
+    def send_initial_lists(self) -> None:
+        """Send the initial endpoint list to every dispatcher."""
+        for dispatcher in range(self.scenario.dispatchers):
+            self._send_servers(dispatcher, ListUpdateKind.FULL, list(self.states))
 
     def change_state(self, name: str, state: EndpointState) -> None:
-        """Change a worker's state, of which every dispatcher hears a while later."""
+        """Change a server's state, and send it to every dispatcher after a delay."""
         self.states[name] = state
         time = self.simulation.time
-        for me in range(self.scenario.dispatchers):
-            drawn = float(self.draw.uniform(0.5, 1.5))
-            delay_ms = self.scenario.list_delay_ms * drawn + self.simulation.troubles.list_late_ms
-            tell = functools.partial(self._tell_workers, me, ListUpdateKind.CHANGES, [name])
-            time.at(time.now + delay_ms, tell)
+        for dispatcher in range(self.scenario.dispatchers):
+            factor = float(self.rng.uniform(0.5, 1.5))
+            delay_ms = self.scenario.list_delay_ms * factor + self.simulation.disturbances.list_late_ms
+            send = functools.partial(self._send_servers, dispatcher, ListUpdateKind.CHANGES, [name])
+            time.at(time.now + delay_ms, send)
 
     def apply_plan(
         self,
-        me: int,
+        dispatcher: int,
         kind: ListUpdateKind = ListUpdateKind.CHANGES,
         changes: list[EndpointEntry] | None = None,
     ) -> None:
-        """Tell a dispatcher changes of its list and of what the plan lets it use; the rest is draining."""
-        known, before = self.known[me], self.seen[me]
-        seen = self.seen[me] = self._usable(me)
-        told = {entry.endpoint_id: entry for entry in changes or []}
-        told |= {name: known[name] for name in before ^ seen if name in known}
+        """Send a dispatcher the changed entries and those whose usability the plan has changed.
+
+        Ready endpoints that the dispatcher must not use are sent as draining.
+        """
+        listed, before = self.listed[dispatcher], self.usable[dispatcher]
+        usable = self.usable[dispatcher] = self._usable(dispatcher)
+        updates = {entry.endpoint_id: entry for entry in changes or []}
+        updates |= {name: listed[name] for name in before ^ usable if name in listed}
         entries = [
             entry._replace(state=EndpointState.DRAINING)
-            if entry.state == EndpointState.READY and name not in seen
+            if entry.state == EndpointState.READY and name not in usable
             else entry
-            for name, entry in told.items()
+            for name, entry in updates.items()
         ]
         if entries:
-            self._tell(me, kind, entries)
+            self._send(dispatcher, kind, entries)
 
-    def _usable(self, me: int) -> frozenset[str]:
-        """The ready endpoints that the plan, or the dispatcher's fixed zone, lets it use."""
-        ready = [entry for entry in self.known[me].values() if entry.state == EndpointState.READY]
+    def _usable(self, dispatcher: int) -> frozenset[str]:
+        """Return the ids of the ready endpoints that the plan, or else the dispatcher's own zone, allows."""
+        ready = [entry for entry in self.listed[dispatcher].values() if entry.state == EndpointState.READY]
         if self.simulation.plans is not None:
-            return self.simulation.plans.usable_endpoints(me, ready)
-        return frozenset([entry.endpoint_id for entry in ready if entry.zone == self.simulation.homes[me]])
+            return self.simulation.plans.usable_endpoints(dispatcher, ready)
+        return frozenset(
+            [
+                entry.endpoint_id
+                for entry in ready
+                if entry.zone == self.simulation.dispatcher_zones[dispatcher]
+            ]
+        )
 
-    def _tell_workers(self, me: int, kind: ListUpdateKind, names: list[str]) -> None:
-        """Tell a dispatcher these workers as they are by now."""
+    def _send_servers(self, dispatcher: int, kind: ListUpdateKind, names: list[str]) -> None:
+        """Send a dispatcher the current entries of these servers."""
         entries = []
         for name in names:
-            server, state = self.simulation.workers[name], self.states[name]
-            entry = EndpointEntry(name, server.zone, server.kind, server.cell, state, 1.0, server.since)
+            server, state = self.simulation.servers[name], self.states[name]
+            entry = EndpointEntry(name, server.zone, server.kind, server.cell, state, 1.0, server.started_ms)
             entries.append(entry)
-        if self.scenario.way == ALONE:
-            self._tell(me, kind, entries)
+        if self.scenario.way == ALL_ZONES:
+            self._send(dispatcher, kind, entries)
         else:
-            self.known[me] |= {entry.endpoint_id: entry for entry in entries}
-            self.apply_plan(me, kind, entries)
+            self.listed[dispatcher] |= {entry.endpoint_id: entry for entry in entries}
+            self.apply_plan(dispatcher, kind, entries)
 
-    def _tell(self, me: int, kind: ListUpdateKind, entries: list[EndpointEntry]) -> None:
+    def _send(self, dispatcher: int, kind: ListUpdateKind, entries: list[EndpointEntry]) -> None:
         for entry in entries:
-            self.simulation.rules.state_told(self.simulation.time.now, me, entry.endpoint_id, entry.state)
-        self.simulation.handle(me, EndpointListUpdate(kind, tuple(entries)))
+            self.simulation.rules.record_state(
+                self.simulation.time.now, dispatcher, entry.endpoint_id, entry.state
+            )
+        self.simulation.handle(dispatcher, EndpointListUpdate(kind, tuple(entries)))
--- a/dunepulley/model/results.py
+++ b/dunepulley/model/results.py
@@ -1,4 +1,4 @@
-"""What a simulated day's requests came to: final answers, payoff in time, and how long they took."""
+"""Results of a simulation: final answers, payoff and latencies of its requests."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class Answer(StrEnum):
-    """A request's final answer; the texts are the keys of the results."""
+    """A request's final answer; the values of `REJECTED` and `FAILED` are keys of the results."""
 
     FINISHED = "finished"
     REJECTED = "deferred"
@@ -25,7 +25,7 @@
 
 @dataclass(slots=True)
 class SimulatedAttempt:
-    """One attempt: its end as the dispatcher heard it, and the job that it became at its worker."""
+    """One attempt: its state as the dispatcher sees it, and its job at the server; times in ms."""
 
     server: ModelServer
     sent: float
@@ -37,57 +37,63 @@
 
 @dataclass(slots=True)
 class SimulatedRequest:
-    """A request, from its arrival to its final answer; times in ms."""
+    """A request, from its arrival to its final answer; times in ms.
+
+    `work` is the run time at a server of speed 1. `deadline` is the latest time at which an answer earns the
+    payoff. `dispatcher` is the number of the dispatcher that receives the request.
+    """
 
     request_id: str
-    came: float
-    category: RequestClass
+    arrived: float
+    request_class: RequestClass
     work: float
-    due: float
-    home: int
+    deadline: float
+    dispatcher: int
     answer: Answer | None = None
     attempts: list[SimulatedAttempt] = field(default_factory=list)
 
 
 class Results:
-    """Counts what became of requests and attempts."""
+    """Counts the answers of requests and the attempts."""
 
     def __init__(self, scenario: Scenario) -> None:
         self.counts = dict.fromkeys(("in time", "late", "deferred", "written off", "hand-offs", "events"), 0)
-        self.crossed_zones = 0
+        self.cross_zone_attempts = 0
         self.possible_payoff = self.earned_payoff = 0.0
-        self.waits: dict[str, list[float]] = {category.name: [] for category in scenario.categories}
+        self.latencies_ms: dict[str, list[float]] = {
+            request_class.name: [] for request_class in scenario.categories
+        }
 
     def record_answer(self, now: float, request: SimulatedRequest, answer: Answer) -> None:
         """Count a final answer."""
         if answer != Answer.FINISHED:
             self.counts[answer] += 1
             return
-        is_in_time = now <= request.due
+        is_in_time = now <= request.deadline
         self.counts["in time" if is_in_time else "late"] += 1
-        self.earned_payoff += request.category.payoff * is_in_time
-        self.waits[request.category.name].append(now - request.came)
+        self.earned_payoff += request.request_class.payoff * is_in_time
+        self.latencies_ms[request.request_class.name].append(now - request.arrived)
 
     def payoff(self) -> float:
-        """The part of the possible payoff that was earned in time."""
+        """Return the payoff earned, from 0 to 1, relative to the possible payoff."""
         return self.earned_payoff / self.possible_payoff if self.possible_payoff else 1.0
 
-    def waits_told(self) -> dict[str, list[float]]:
-        """The median and the 99th percentile of the time to an answer, in ms, by request class."""
-        return {name: percentiles(waits) for name, waits in self.waits.items()}
+    def latency_percentiles(self) -> dict[str, list[float]]:
+        """Return the median and the 99th percentile of the time to an answer, in ms, by request class."""
+        return {name: percentiles(latencies_ms) for name, latencies_ms in self.latencies_ms.items()}
 
-    def crossed_part(self) -> float:
-        """The part of attempts that went to another zone."""
-        return self.crossed_zones / max(1, self.counts["hand-offs"])
+    def cross_zone_ratio(self) -> float:
+        """Return the ratio of attempts that were sent to another zone."""
+        return self.cross_zone_attempts / max(1, self.counts["hand-offs"])
 
 
 def percentiles(values: list[float]) -> list[float]:
-    """The median and the 99th percentile; nothing of nothing."""
+    """Return the median and the 99th percentile, or an empty list for no values."""
     return [round(float(np.percentile(values, at)), 1) for at in PERCENTILES] if values else []
 
 
-def wasted_part(workers: Iterable[ModelServer], requests: Iterable[SimulatedRequest]) -> float:
-    """The part of the workers' work that no request's answer came of."""
-    done = sum([server.done_work for server in workers])
+def wasted_ratio(servers: Iterable[ModelServer], requests: Iterable[SimulatedRequest]) -> float:
+    """Return the ratio of the servers' work that did not contribute to a successful answer."""
+    done = sum([server.completed_work for server in servers])
     useful = sum([request.work for request in requests if request.answer == Answer.FINISHED])
     return max(0.0, 1.0 - useful / done) if done else 0.0
--- a/dunepulley/model/routing_loader.py
+++ b/dunepulley/model/routing_loader.py
@@ -1,4 +1,4 @@
-"""Loads another version of the routing package beside the running one, to compare the two.
+"""Loads another version of the routing package alongside the running one, to compare the two.
 
 The other package gets a name of its own in `sys.modules`, under which its relative imports find its own
 modules. Its `events` and `commands` are the running version's: both routers then take and return the same
@@ -25,7 +25,7 @@
 
 
 class UnusableVersionError(ValueError):
-    """A path from which no router can be loaded; the text says why in one line."""
+    """No router can be loaded from a path; the text gives the path and the reason in one line."""
 
 
 @cache
@@ -34,18 +34,18 @@
 
     Raises `UnusableVersionError` where the path cannot be read, or its modules cannot be imported.
     """
-    place = Path(path).absolute()
-    if place.is_file() and place.suffix != ".py":
-        raise UnusableVersionError(f"{path} is no module")
-    folder, main_module = (place, MAIN_MODULE) if place.is_dir() else (place.parent, place.stem)
+    location = Path(path).absolute()
+    if location.is_file() and location.suffix != ".py":
+        raise UnusableVersionError(f"{path}: expected a folder or a .py file")
+    folder, main_module = (location, MAIN_MODULE) if location.is_dir() else (location.parent, location.stem)
     alias = f"dunepulley_routing_version_{next(_version_numbers)}"
     try:
-        place.stat()
+        location.stat()
         _load_package(alias, folder)
         return importlib.import_module(f"{alias}.{main_module}").Router
     except (OSError, SyntaxError, ImportError, AttributeError) as problem:
         _forget_package(alias)
-        raise UnusableVersionError(f"{path} cannot be loaded: {problem}") from problem
+        raise UnusableVersionError(f"{path}: cannot load a router: {problem}") from problem
 
 
 def _load_package(alias: str, folder: Path) -> None:
--- a/dunepulley/model/scenario.py
+++ b/dunepulley/model/scenario.py
@@ -1,4 +1,7 @@
-"""What a day is made of: sizes, traffic, workers, ways and troubles, read from a file and checked."""
+"""Scenarios: the sizes, traffic, servers, routing and disturbances of a run, read from TOML files.
+
+The field names of `RequestClass`, `Disturbance`, `Fault` and `Scenario` are the keys of scenario files.
+"""
 
 from __future__ import annotations
 
@@ -10,11 +13,17 @@
 
 
 class ScenarioError(Exception):
-    """The description cannot be used; the text says why in one line."""
+    """A scenario or settings file cannot be used; the text names the file and the reason in one line."""
 
 
 class RequestClass(NamedTuple):
-    """One kind of work item; works are drawn with this mean and spread, in ms at a worker of speed 1."""
+    """A class of requests, a `[[category]]` table.
+
+    `work_ms` and `work_cv` are the mean and the coefficient of variation of the run time at a server of speed
+    1. A request earns `payoff` if it is answered within `due_ms` plus `stretch` times its run time; its
+    timeout is `expiry_ms`. `share` is the class's weight in the traffic. `effect`, `group` and `window_ms`
+    are its idempotency, the scope of its idempotency keys and how long they are valid.
+    """
 
     name: str
     share: float = 1.0
@@ -30,7 +39,11 @@
 
 
 class Disturbance(NamedTuple):
-    """What goes wrong, from when to when, at which part of the workers (or of the items), and how badly."""
+    """A disturbance of servers, reports, the endpoint list or traffic, a `[[trouble]]` table.
+
+    It lasts from `from_s` to `to_s`, affects the fraction `part` of the servers (for `heavy`, of the
+    requests), and `size` is its strength, with a unit that depends on the kind: see `DISTURBANCES`.
+    """
 
     kind: str
     from_s: float
@@ -40,11 +53,13 @@
 
 
 class Fault(NamedTuple):
-    """What is done to links and processes, from when to when; played on sockets only.
+    """A fault of links, processes or clocks, a `[[fault]]` table; only the load tool supports it.
 
-    `one` and `other` are the two ends of links, or `one` alone names processes: clients, dispatchers,
-    workers, discovery or agents, of one zone (`workers@z1`), or a single one (`n0`, `w3`). `part` of the
-    links or processes are drawn.
+    It lasts from `from_s` to `to_s`. `one` and `other` are the two ends of links; for faults of processes and
+    clocks `one` alone names the processes. Each is a group (clients, dispatchers, workers, discovery or
+    agents), a group in one zone (`workers@z1`) or a single process (`n0`, `w3`). The fraction `part` of the
+    links or processes is drawn at random. `way` is the direction in which a link is affected, as seen from
+    `one`.
     """
 
     kind: str
@@ -58,34 +73,34 @@
 
 
 class Scenario(NamedTuple):
-    """All of a day."""
+    """A whole scenario."""
 
     seconds: float = 30.0
     dispatchers: int = 3
     workers: int = 10
     zones: int = 2
-    regions: int = 0  # zones next to each other in number belong together; 0: each by itself
-    zone_skew: float = 0.0  # how much larger each zone is than the next, as a part of the smallest
-    way: str = "alone"  # dispatchers use all zones by themselves, their own only, or go by a common plan
-    agree_ms: float = 60.0  # how long agents take to agree on a plan and to write it down
+    regions: int = 0  # consecutive zones form a region; 0: no regions
+    zone_skew: float = 0.0  # how much larger each zone is than the next, relative to the smallest
+    way: str = "alone"  # "alone": all zones; "fixed": the dispatcher's own zone; "common": the traffic plan
+    agree_ms: float = 60.0  # how long agents take to agree on a plan and to store it
     cells: int = 2
     slots: int = 4
     queue: int = 24
     kinds: int = 3
-    kind_cv: float = 0.4  # how far kinds of machine are apart in speed, and machines of one kind
-    speed_cv: float = 0.08
-    load: float = 0.6  # work offered for each unit of work that all workers can do
-    way_ms: float = 0.3
-    cross_ms: float = 6.0
-    jitter: float = 0.2
+    kind_cv: float = 0.4  # coefficient of variation of the speed between kinds of machine
+    speed_cv: float = 0.08  # the same between machines of one kind
+    load: float = 0.6  # offered work divided by the capacity of all servers
+    way_ms: float = 0.3  # mean one-way network delay within a zone
+    cross_ms: float = 6.0  # mean one-way network delay between zones
+    jitter: float = 0.2  # mean of the exponential part of a delay, relative to the mean delay
     report_period_ms: float = 1000.0
     report_delay_ms: float = 300.0
     report_noise: float = 0.03
     list_delay_ms: float = 1500.0
-    cold_from: float = 0.2
-    cold_s: float = 15.0
-    fall_multiple: float = 4.0
-    fall_ms: float = 1000.0
+    cold_from: float = 0.2  # speed of a server that has just started, relative to its full speed
+    cold_s: float = 15.0  # how long a server takes to warm up
+    fall_multiple: float = 4.0  # a warming server must not receive more than this multiple of its capacity
+    fall_ms: float = 1000.0  # ... within this time
     drain_grace_ms: float = 300.0
     tells_start: bool = True
     cancel: bool = True
@@ -99,162 +114,191 @@
     faults: tuple[Fault, ...] = ()
 
 
-# What each trouble's size means.
-TROUBLES = {
-    "slow": "so many times slower",
-    "neighbour": "this part of the machine is taken, on and off",
-    "zone": "the zone of this number falls silent, and comes back cold",
-    "crash": "they die, and come back cold after so many seconds",
-    "release": "they are replaced one after the other by cold ones",
-    "late reports": "reports are so many ms later",
-    "late list": "the list is so many ms later",
-    "heavy": "this part of one category's items is so many times the work",
+# The kinds of disturbance, with the meaning of `size`.
+DISTURBANCES = {
+    "slow": "the factor by which servers are slower",
+    "neighbour": "the fraction of the machine that another program takes, intermittently",
+    "zone": "the number of the zone that stops responding; it restarts afterwards and warms up",
+    "crash": "the seconds until the crashed servers restart and warm up",
+    "release": "unused; servers are replaced one after the other by new ones that warm up",
+    "late reports": "the additional delay of load reports in ms",
+    "late list": "the additional delay of the endpoint list in ms",
+    "heavy": "the factor by which the affected requests of the first class take more work",
 }
-# What is done to links, with what its size means, to processes, and to clocks.
-LINKS = {
-    "cut": "nothing is carried, and what was sent arrives afterwards",
-    "slow": "all arrives so many ms later",
-    "lossy": "this part is sent again, 200 ms later",
-    "reset": "connections break, once",
-    "refuse": "connections break, and each new one at once",
+# The kinds of fault of links, with the meaning of `size`; of processes; and of clocks.
+LINK_FAULTS = {
+    "cut": "unused; no data passes, and data sent meanwhile arrives afterwards",
+    "slow": "the additional delay in ms",
+    "lossy": "the fraction of the data that is retransmitted 200 ms later",
+    "reset": "unused; all connections are reset once",
+    "refuse": "unused; all connections are reset, and new ones immediately",
 }
-PROCESSES = {
-    "kill": "ends at once, and is started again afterwards",
-    "end": "is told to end (SIGTERM), and is started again once it has",
-    "stop": "stands still",
+PROCESS_FAULTS = {
+    "kill": "killed (SIGKILL), and restarted at the end of the fault",
+    "end": "terminated (SIGTERM), and restarted once it has exited",
+    "stop": "stopped (SIGSTOP), and continued at the end of the fault",
 }
-CLOCK = "clock"
-WAYS = ("both", "there", "back")
-# How dispatchers go about zones.
-ALONE, FIXED, COMMON = "alone", "fixed", "common"
+CLOCK_FAULT = "clock"
+DIRECTIONS = ("both", "there", "back")
+# Which zones dispatchers use: all of them, their own, or those of the agents' traffic plan.
+ALL_ZONES, OWN_ZONE, COMMON_PLAN = "alone", "fixed", "common"
 EFFECTS = (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
-# Beyond these nothing is of use on one machine.
-MOST = {"seconds": 3600.0, "dispatchers": 1000, "workers": 5000, "slots": 999, "queue": 99_999, "load": 99.0}
-LEAST = {"seconds": 1.0, "load": 0.0001, "regions": 0} | dict.fromkeys(
+# The largest sizes that one machine can simulate in a useful time.
+MAX_VALUES = {
+    "seconds": 3600.0,
+    "dispatchers": 1000,
+    "workers": 5000,
+    "slots": 999,
+    "queue": 99_999,
+    "load": 99.0,
+}
+MIN_VALUES = {"seconds": 1.0, "load": 0.0001, "regions": 0} | dict.fromkeys(
     ("dispatchers", "workers", "kinds", "zones", "cells", "slots"), 1
 )
 
 
 def read(path: str) -> Scenario:
-    """The description in a file."""
+    """Read a scenario file; raises ScenarioError where it cannot be read or is invalid."""
     try:
         with Path(path).open("rb") as file:
-            return day_of(tomllib.load(file))
+            return parse_scenario(tomllib.load(file))
     except OSError as problem:
         raise ScenarioError(f"cannot read {path}: {problem.strerror}") from problem
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as problem:
-        raise ScenarioError(f"{path} is no TOML: {problem}") from problem
+        raise ScenarioError(f"{path}: expected a TOML file: {problem}") from problem
     except ValueError as problem:
         raise ScenarioError(f"{path}: {problem}") from problem
 
 
-def day_of(told: dict[str, Any]) -> Scenario:
-    """A description as a plain map; raises ValueError where it means nothing."""
-    told = dict(told)
-    categories = tuple([_made(RequestClass, one, "category") for one in _tables(told, "category")])
-    troubles = tuple([_made(Disturbance, one, "trouble") for one in _tables(told, "trouble")])
-    faults = tuple([_made(Fault, one, "fault") for one in _tables(told, "fault")])
-    scenario = _made(Scenario, told, "the day")
+def parse_scenario(document: dict[str, Any]) -> Scenario:
+    """Return the scenario of a parsed TOML document; raises ValueError with the key at fault."""
+    document = dict(document)
+    categories = tuple([_build(RequestClass, table, "category") for table in _tables(document, "category")])
+    troubles = tuple([_build(Disturbance, table, "trouble") for table in _tables(document, "trouble")])
+    faults = tuple([_build(Fault, table, "fault") for table in _tables(document, "fault")])
+    scenario = _build(Scenario, document, "scenario")
     scenario = scenario._replace(
         categories=categories or scenario.categories, troubles=troubles, faults=faults
     )
     _check_sizes(scenario)
-    _check_categories(scenario.categories)
-    for trouble in scenario.troubles:
-        _check_trouble(trouble)
+    _check_request_classes(scenario.categories)
+    for disturbance in scenario.troubles:
+        _check_disturbance(disturbance)
     for fault in scenario.faults:
         _check_fault(fault)
     return scenario
 
 
 def _check_sizes(scenario: Scenario) -> None:
-    for name, most in MOST.items():
-        if getattr(scenario, name) > most:
-            raise ValueError(f"{name} is {getattr(scenario, name)}, more than {most:g}")
-    for name, least in LEAST.items():
-        if getattr(scenario, name) < least:
-            raise ValueError(f"{name} is {getattr(scenario, name)}, less than {least:g}")
-    if scenario.way not in (ALONE, FIXED, COMMON):
-        raise ValueError(f"way is {scenario.way!r}, none of {ALONE}, {FIXED}, {COMMON}")
-
-
-def _check_categories(categories: tuple[RequestClass, ...]) -> None:
-    names = [category.name for category in categories]
+    for name, maximum in MAX_VALUES.items():
+        if getattr(scenario, name) > maximum:
+            raise ValueError(f"{name} is {getattr(scenario, name)}, expected at most {maximum:g}")
+    for name, minimum in MIN_VALUES.items():
+        if getattr(scenario, name) < minimum:
+            raise ValueError(f"{name} is {getattr(scenario, name)}, expected at least {minimum:g}")
+    if scenario.way not in (ALL_ZONES, OWN_ZONE, COMMON_PLAN):
+        raise ValueError(f"way is {scenario.way!r}, expected {ALL_ZONES}, {OWN_ZONE} or {COMMON_PLAN}")
+
+
+def _check_request_classes(categories: tuple[RequestClass, ...]) -> None:
+    names = [request_class.name for request_class in categories]
     if len(set(names)) < len(names):
-        raise ValueError("two categories are of one name")
-    for category in categories:
-        if category.effect not in EFFECTS or category.group not in ("all", "zone", "cell"):
-            raise ValueError(f"{category.name}: effect {category.effect!r} in group {category.group!r}")
-        if category.work_ms <= 0.0 or category.due_ms <= 0.0 or category.expiry_ms <= category.due_ms:
-            raise ValueError(f"{category.name}: work and due time are over 0, and expiry is later")
+        raise ValueError("category: expected different names, got the same name twice")
+    for request_class in categories:
+        if request_class.effect not in EFFECTS or request_class.group not in ("all", "zone", "cell"):
+            raise ValueError(
+                f"{request_class.name}: category with unknown effect {request_class.effect!r}"
+                f" or group {request_class.group!r}"
+            )
+        if (
+            request_class.work_ms <= 0.0
+            or request_class.due_ms <= 0.0
+            or request_class.expiry_ms <= request_class.due_ms
+        ):
+            raise ValueError(
+                f"{request_class.name}: category needs work_ms > 0, due_ms > 0 and expiry_ms > due_ms"
+            )
 
 
-def _check_trouble(trouble: Disturbance) -> None:
-    if trouble.kind not in TROUBLES:
-        raise ValueError(f"trouble {trouble.kind!r} is none of {', '.join(TROUBLES)}")
-    if not 0.0 <= trouble.from_s <= trouble.to_s or not 0.0 <= trouble.part <= 1.0:
-        raise ValueError(f"trouble {trouble.kind}: its times or its part make no sense")
+def _check_disturbance(disturbance: Disturbance) -> None:
+    if disturbance.kind not in DISTURBANCES:
+        raise ValueError(f"trouble {disturbance.kind!r} is unknown, expected {', '.join(DISTURBANCES)}")
+    if not 0.0 <= disturbance.from_s <= disturbance.to_s or not 0.0 <= disturbance.part <= 1.0:
+        raise ValueError(f"trouble {disturbance.kind}: expected 0 <= from_s <= to_s and 0 <= part <= 1")
 
 
 def _check_fault(fault: Fault) -> None:
-    known = {**LINKS, **PROCESSES, CLOCK: ""}
-    if fault.kind not in known:
-        raise ValueError(f"fault {fault.kind!r} is none of {', '.join(known)}")
+    kinds = {**LINK_FAULTS, **PROCESS_FAULTS, CLOCK_FAULT: ""}
+    if fault.kind not in kinds:
+        raise ValueError(f"fault {fault.kind!r} is unknown, expected {', '.join(kinds)}")
     if not 0.0 <= fault.from_s <= fault.to_s or not 0.0 < fault.part <= 1.0:
-        raise ValueError(f"fault {fault.kind}: its times or its part make no sense")
-    if (fault.kind in LINKS) != bool(fault.other):
-        raise ValueError(f"fault {fault.kind}: links have an other end, and nothing else has")
-    if fault.way not in WAYS:
-        raise ValueError(f"fault {fault.kind}: way is {fault.way!r}, none of {', '.join(WAYS)}")
+        raise ValueError(f"fault {fault.kind}: expected 0 <= from_s <= to_s and 0 < part <= 1")
+    if (fault.kind in LINK_FAULTS) != bool(fault.other):
+        raise ValueError(
+            f"fault {fault.kind}: other is required for faults of links and not allowed otherwise"
+        )
+    if fault.way not in DIRECTIONS:
+        raise ValueError(f"fault {fault.kind}: way is {fault.way!r}, expected one of {', '.join(DIRECTIONS)}")
     if fault.kind == "lossy" and fault.size > 1.0:
-        raise ValueError("fault lossy: its size is a part")
+        raise ValueError("fault lossy: size: expected a fraction from 0 to 1")
 
 
-def _tables(told: dict[str, Any], name: str) -> list[Any]:
-    tables = told.pop(name, [])
+def _tables(document: dict[str, Any], name: str) -> list[Any]:
+    tables = document.pop(name, [])
     if not isinstance(tables, list):
-        raise ValueError(f"{name} is no list of tables")
+        raise ValueError(f"{name}: expected a list of tables")
     return tables
 
 
-def _made(kind: Any, told: Any, where: str) -> Any:
-    """A tuple of a kind from a table that has nothing else, each figure of its own sort."""
-    if not isinstance(told, dict):
-        raise ValueError(f"{where} is no table")
-    fields = {name: getattr(sort, "__name__", str(sort)) for name, sort in get_type_hints(kind).items()}
-    for name, value in told.items():
+def _build(kind: Any, document: Any, where: str) -> Any:
+    """Return a NamedTuple of class `kind` from a table.
+
+    Raises ValueError where a key is unknown, missing or has an invalid value.
+    """
+    if not isinstance(document, dict):
+        raise ValueError(f"{where}: expected a table")
+    fields = {
+        name: getattr(type_hint, "__name__", str(type_hint))
+        for name, type_hint in get_type_hints(kind).items()
+    }
+    for name, value in document.items():
         if name not in fields or name in ("categories", "troubles", "faults"):
-            raise ValueError(f"{where} has {name}, which means nothing")
-        wanted = {"float": (int, float), "int": int, "bool": bool, "str": str}[fields[name]]
-        if not isinstance(value, wanted) or (fields[name] != "bool" and isinstance(value, bool)):
-            raise ValueError(f"{where}: {name} is {value!r}, no {fields[name]}")
+            raise ValueError(f"{where} has {name}, which is not a known key")
+        expected = {"float": (int, float), "int": int, "bool": bool, "str": str}[fields[name]]
+        if not isinstance(value, expected) or (fields[name] != "bool" and isinstance(value, bool)):
+            raise ValueError(f"{where}: {name} is {value!r}, expected {fields[name]}")
         if isinstance(value, int | float) and not 0.0 <= value < 1e12:
-            raise ValueError(f"{where}: {name} is {value!r}")
-    missing = [name for name in fields if name not in told and name not in kind._field_defaults]
+            raise ValueError(f"{where}: {name}: expected a number from 0 to 1e12, got {value!r}")
+    missing = [name for name in fields if name not in document and name not in kind._field_defaults]
     if missing:
-        raise ValueError(f"{where} has no {missing[0]}")
-    return kind(**{name: float(value) if fields[name] == "float" else value for name, value in told.items()})
+        raise ValueError(f"{where}: missing key {missing[0]}")
+    return kind(
+        **{name: float(value) if fields[name] == "float" else value for name, value in document.items()}
+    )
 
 
 def zone_of(scenario: Scenario, number: int, count: int) -> str:
-    """The zone of one of so many workers or dispatchers: in turns, or the first zones the larger ones."""
+    """Return the zone of server or dispatcher `number` out of `count`.
+
+    Zones are assigned round-robin, or, with `zone_skew`, in consecutive blocks whose sizes decrease.
+    """
     if not scenario.zone_skew:
         return f"z{number % scenario.zones}"
     sizes = [1.0 + scenario.zone_skew * (scenario.zones - 1 - zone) for zone in range(scenario.zones)]
-    place, whole = (number + 0.5) / count * sum(sizes), 0.0
+    position, total = (number + 0.5) / count * sum(sizes), 0.0
     for zone, size in enumerate(sizes):
-        whole += size
-        if place <= whole:
+        total += size
+        if position <= total:
             return f"z{zone}"
     return f"z{scenario.zones - 1}"
 
 
-def settings_of(scenario: Scenario, me: int) -> dict[str, Any]:
-    """What a dispatcher of this day is told, as the module takes it."""
+def router_settings(scenario: Scenario, dispatcher: int) -> dict[str, Any]:
+    """Return the router settings of a dispatcher in this scenario."""
     settings: dict[str, Any] = {
         "balancers": float(scenario.dispatchers),
-        "me": float(me),
-        "zone": zone_of(scenario, me, scenario.dispatchers),
+        "me": float(dispatcher),
+        "zone": zone_of(scenario, dispatcher, scenario.dispatchers),
         "weightSource": "nominal",
         "reporting.how": "answers",
         "reporting.fields": ("rate", "queue", "x0"),
@@ -273,18 +317,18 @@
         "rules.drainGraceMs": scenario.drain_grace_ms,
         "categories.count": float(len(scenario.categories)),
     }
-    for number, category in enumerate(scenario.categories):
+    for number, request_class in enumerate(scenario.categories):
         settings |= {
             f"categories.{number}.{name}": value
             for name, value in (
-                ("name", category.name),
-                ("effect", category.effect),
-                ("keyScope", category.group),
-                ("windowMs", category.window_ms),
-                ("dueTimeMs", category.due_ms),
-                ("aimStretch", category.stretch),
-                ("expiryMs", category.expiry_ms),
-                ("payoff", category.payoff),
+                ("name", request_class.name),
+                ("effect", request_class.effect),
+                ("keyScope", request_class.group),
+                ("windowMs", request_class.window_ms),
+                ("dueTimeMs", request_class.due_ms),
+                ("aimStretch", request_class.stretch),
+                ("expiryMs", request_class.expiry_ms),
+                ("payoff", request_class.payoff),
             )
         }
     return settings
--- a/dunepulley/model/simulated_time.py
+++ b/dunepulley/model/simulated_time.py
@@ -1,16 +1,16 @@
-"""Simulated time: a queue of calls, each due at its moment; time passes from one to the next."""
+"""Simulated time: a queue of scheduled calls; time advances from one call to the next."""
 
 from __future__ import annotations
 
 from collections.abc import Callable
 from heapq import heappop, heappush
 
-# Where simulated days begin, in ms: no worker has started at 0, which stands for long ago.
+# The simulated time at which runs start, in ms; a server's start time of 0 means that it started long ago.
 BEGIN = 1_000_000.0
 
 
 class ScheduledCall:
-    """A call that waits for its moment."""
+    """A call that is scheduled for a later time."""
 
     __slots__ = ("action",)
 
@@ -18,12 +18,12 @@
         self.action: Callable[[], None] | None = action
 
     def cancel(self) -> None:
-        """Do not call any more; nothing happens where it was called already."""
+        """Cancel the call; does nothing if it has already been made."""
         self.action = None
 
 
 class SimulatedTime:
-    """The time of a simulation, in ms; calls of one moment come in the order in which they were scheduled."""
+    """The clock of a simulation, in ms; calls for the same time are made in the order of scheduling."""
 
     def __init__(self) -> None:
         self.now = BEGIN
@@ -31,14 +31,14 @@
         self._scheduled = 0
 
     def at(self, when: float, action: Callable[[], None]) -> ScheduledCall:
-        """Schedule a call at a moment; one that is over already counts as now."""
+        """Schedule a call; a time in the past counts as now."""
         call = ScheduledCall(action)
         self._scheduled += 1
         heappush(self._queue, (max(when, self.now), self._scheduled, call))
         return call
 
     def run(self, until: float) -> None:
-        """Let time pass until a moment, and make every call that is due."""
+        """Advance the time to `until`, and make every call that is scheduled by then."""
         while self._queue and self._queue[0][0] <= until:
             self.now, _, call = heappop(self._queue)
             action, call.action = call.action, None
--- a/dunepulley/model/traffic.py
+++ b/dunepulley/model/traffic.py
@@ -1,4 +1,4 @@
-"""The requests of a simulated day, drawn before it begins, so that they do not follow what is decided."""
+"""The requests of a scenario, drawn before the run starts so that they do not depend on routing decisions."""
 
 from __future__ import annotations
 
@@ -10,57 +10,66 @@
 
 
 class PlannedRequest(NamedTuple):
-    """A request that is to arrive.
+    """A request that will arrive during the run.
 
-    `at` is in ms since the day's begin, `work` in ms at a worker of speed 1, and `home` the number of the
-    dispatcher that receives it.
+    `at` is in ms since the start of the run, `work` is the run time in ms at a server of speed 1, and
+    `dispatcher` is the number of the dispatcher that receives the request.
     """
 
     request_id: str
     at: float
-    category: RequestClass
+    request_class: RequestClass
     work: float
-    home: int
+    dispatcher: int
 
 
 def spread_out(normals: Any, cv: float) -> Any:
-    """Lognormal figures of mean 1 and this coefficient of variation, from standard normal ones."""
+    """Return lognormal values of mean 1 and coefficient of variation `cv`, from standard normal values."""
     spread = np.sqrt(np.log1p(cv**2))
     return np.exp(normals * spread - 0.5 * spread**2)
 
 
 def plan_requests(
-    scenario: Scenario, draw: dict[str, np.random.Generator], work_per_ms: float
+    scenario: Scenario, rng: dict[str, np.random.Generator], work_per_ms: float
 ) -> list[PlannedRequest]:
-    """Draw every request of a day, in order of arrival.
+    """Draw every request of a scenario, in order of arrival.
 
-    `draw` holds the streams `arrivals`, `works` and `heavy`; `work_per_ms` is what all workers can do.
+    `rng` holds the streams `arrivals`, `works` and `heavy`; `work_per_ms` is the capacity of all servers.
     """
-    shares = np.array([category.share for category in scenario.categories])
+    shares = np.array([request_class.share for request_class in scenario.categories])
     shares = shares / shares.sum()
-    mean_work = float(sum(shares * np.array([category.work_ms for category in scenario.categories])))
+    mean_work = float(
+        sum(shares * np.array([request_class.work_ms for request_class in scenario.categories]))
+    )
     rate = 1000.0 * scenario.load * work_per_ms / mean_work
-    arrivals = draw["arrivals"]
+    arrivals = rng["arrivals"]
     count = int(arrivals.poisson(rate * scenario.seconds))
-    moments = np.sort(arrivals.uniform(0.0, scenario.seconds * 1000.0, count))
-    homes = arrivals.integers(0, scenario.dispatchers, count)
-    kinds = arrivals.choice(len(shares), count, p=shares)
-    normals = draw["works"].normal(0.0, 1.0, count)
-    heavy_draws = draw["heavy"].uniform(0.0, 1.0, count)
+    arrival_times = np.sort(arrivals.uniform(0.0, scenario.seconds * 1000.0, count))
+    dispatcher_numbers = arrivals.integers(0, scenario.dispatchers, count)
+    class_numbers = arrivals.choice(len(shares), count, p=shares)
+    normals = rng["works"].normal(0.0, 1.0, count)
+    heavy_draws = rng["heavy"].uniform(0.0, 1.0, count)
     planned = []
     for number in range(count):
-        kind, at = int(kinds[number]), float(moments[number])
-        category = scenario.categories[kind]
-        work = category.work_ms * float(spread_out(normals[number], category.work_cv))
-        work *= _heaviness(scenario, kind, at, heavy_draws[number])
-        planned.append(PlannedRequest(f"i{number}", at, category, max(0.1, work), int(homes[number])))
+        class_number, at = int(class_numbers[number]), float(arrival_times[number])
+        request_class = scenario.categories[class_number]
+        work = request_class.work_ms * float(spread_out(normals[number], request_class.work_cv))
+        work *= _work_factor(scenario, class_number, at, heavy_draws[number])
+        planned.append(
+            PlannedRequest(f"i{number}", at, request_class, max(0.1, work), int(dispatcher_numbers[number]))
+        )
     return planned
 
 
-def _heaviness(scenario: Scenario, kind: int, at: float, drawn: float) -> float:
-    """By how much more a request works, as some of the first category do while that is in trouble."""
-    for trouble in scenario.troubles:
-        is_now = trouble.from_s * 1000.0 <= at < trouble.to_s * 1000.0
-        if trouble.kind == "heavy" and kind == 0 and is_now and drawn < trouble.part:
-            return trouble.size
+def _work_factor(scenario: Scenario, class_number: int, at: float, uniform_draw: float) -> float:
+    """Return the factor on a request's work: above 1 for the requests that a `heavy` disturbance affects."""
+    for disturbance in scenario.troubles:
+        is_active = disturbance.from_s * 1000.0 <= at < disturbance.to_s * 1000.0
+        if (
+            disturbance.kind == "heavy"
+            and class_number == 0
+            and is_active
+            and uniform_draw < disturbance.part
+        ):
+            return disturbance.size
     return 1.0
--- a/dunepulley/setting_names.py
+++ b/dunepulley/setting_names.py
@@ -1,7 +1,7 @@
-"""Names and values of settings: from the kit's forms to the ones that this project uses.
+"""Translates names and values of settings from their external forms to the internal ones.
 
-The simulator's wire brings values as texts, the dispatcher's configuration as JSON values. Both are
-translated here into one flat map of dotted names to values, with all times in milliseconds.
+The simulator's protocol passes values as text, the dispatcher's configuration as JSON values. Both are
+translated into one flat map of dotted names to values, with all times in milliseconds.
 """
 
 from __future__ import annotations
@@ -13,7 +13,7 @@
 MICROSECONDS_SUFFIX, MILLISECONDS_SUFFIX = "Us", "Ms"
 MICROSECONDS_PER_MILLISECOND = 1000.0
 REPORTED_FIELDS = "reporting.fields"
-# Settings that list names: their values stay texts, whatever they look like.
+# Settings whose values are lists of names: their values stay strings, even if they look like numbers.
 NAME_LISTS = ("areas", "kinds", "stages")
 TEXT_VALUES = {
     "read_like": Idempotency.IDEMPOTENT,
@@ -29,14 +29,14 @@
 
 
 def is_name_setting(setting: str) -> bool:
-    """Whether the value of a setting is a name (of a class, tenant or zone), which stays a text."""
+    """Return whether the value of a setting is a name (of a class, tenant or zone), which stays a string."""
     return setting.endswith(".name") or setting in ("zone", "name")
 
 
 def translate_setting(name: str, value: object) -> tuple[str, object]:
-    """Return the name and the value of one setting in our terms.
+    """Return the internal name and value of a setting.
 
-    A name that ends in `Us` ends in `Ms` afterwards, and its value is divided accordingly.
+    A name that ends in `Us` (microseconds) then ends in `Ms`, and its value is divided accordingly.
     """
     if is_name_setting(name):
         return name, value
--- a/dunepulley/simhost/__init__.py
+++ b/dunepulley/simhost/__init__.py
@@ -1,1 +1,1 @@
-"""The front that speaks the simulator's wire on standard input and output."""
+"""The adapter for the simulator's text protocol on standard input and output."""
--- a/dunepulley/simhost/__main__.py
+++ b/dunepulley/simhost/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m dunepulley.simhost`: the simulator's adapter, on standard input and output."""
+"""`python -m dunepulley.simhost`: the adapter for the simulator, on standard input and output."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from dunepulley.simhost.wire import WireError
 
 EXIT_OK, EXIT_UNREADABLE = 0, 2
-# Objects that live as long as an instance need no look from the garbage collector at every batch.
+# Most objects live as long as an instance, so the garbage collector need not scan them at every batch.
 GC_THRESHOLDS = (50_000, 20, 100)
 
 
--- a/dunepulley/simhost/host.py
+++ b/dunepulley/simhost/host.py
@@ -1,7 +1,7 @@
-"""Hosts the dispatchers of one process: gives each its own events and writes down its commands.
+"""Runs the dispatcher instances of one process: passes events to each and writes its commands.
 
-A batch is the lines up to `end`: `turn` tells the time, `target_instance` whom the lines after it are for,
-`power_on` and `stop` begin and end that instance, and all others are its events.
+A batch is the lines up to `end`: `turn` sets the time, `target_instance` selects the instance for the lines
+that follow, `power_on` and `stop` start and stop that instance, and all other lines are its events.
 """
 
 from __future__ import annotations
@@ -16,12 +16,12 @@
 
 END_OF_BATCH = "end"
 END_OF_REPLY = "finished\n"
-# How much of a line stands in the error that it causes.
+# The maximum length of a line in an error message.
 MAX_QUOTED = 200
 
 
 class Batch:
-    """One batch on its way through: the time, the instance in turn with its events, and the reply so far."""
+    """The state of one batch: the time, the selected instance with its events, and the reply so far."""
 
     def __init__(self, routers: dict[str, Router]) -> None:
         self.routers = routers
@@ -31,7 +31,7 @@
         self.reply: list[str] = []
 
     def read(self, lines: list[str]) -> None:
-        """Read all lines and have each instance handle its events; raises WireError."""
+        """Read all lines, and have each instance handle its events; raises WireError on an invalid line."""
         source = iter(lines)
         line = ""
         readers, routers = wire.EVENT_READERS, self.routers
@@ -50,7 +50,7 @@
         self.handle_events()
 
     def _read_other(self, name: str, parts: list[str], source: Iterator[str]) -> None:
-        """Read a line that is not one event of an instance which is powered on."""
+        """Read a line that is not a single-line event of a running instance."""
         match name:
             case "turn":
                 self.now_ms = wire.milliseconds(wire.parse_fields(parts)["momentUs"])
@@ -73,16 +73,16 @@
     def _power_on(self, fields: wire.Fields) -> None:
         settings = wire.parse_settings(fields)
         if self.instance is None:
-            raise wire.WireError("power_on for no instance")
+            raise wire.WireError("power_on: expected target_instance first")
         self.events = []
         self.routers[self.instance] = Router(int(fields["nonce64"]), settings, self.now_ms)
 
     def _require_power(self, name: str) -> None:
         if self.instance not in self.routers:
-            raise wire.WireError(f"{name} for instance {self.instance}, which was not powered on")
+            raise wire.WireError(f"{name} for instance {self.instance}, which was not powered on before")
 
     def handle_events(self) -> None:
-        """Have the instance in turn handle its events, and write down its commands or its fault."""
+        """Pass the selected instance its events, and append its commands or its exception to the reply."""
         events, self.events = self.events, []
         if not events:
             return
@@ -99,26 +99,26 @@
 
 
 def _read_list(fields: wire.Fields, source: Iterator[str]) -> EndpointListUpdate:
-    """Return the list update of a `roster_change`, whose entries are the lines that follow."""
+    """Return the list update of a `roster_change` line, whose entries are the lines that follow."""
     entries = [wire.parse_list_entry(next(source)) for _ in range(int(fields.get("members", 0)))]
     return EndpointListUpdate(wire.LIST_UPDATE_KINDS[fields["how"]], tuple(entries))
 
 
 class Host:
-    """Owns one `Router` for each instance that is powered on; nothing is shared between them."""
+    """Owns one `Router` for each running instance; instances share no state."""
 
     def __init__(self) -> None:
         self.routers: dict[str, Router] = {}
 
     def answer(self, lines: list[str]) -> list[str]:
-        """Return the reply to one batch, which is given without its `end` line; raises WireError."""
+        """Return the reply to one batch, passed without its `end` line; raises WireError."""
         batch = Batch(self.routers)
         batch.read(lines)
         return batch.reply
 
 
 def serve(source: TextIO, sink: TextIO) -> None:
-    """Answer batches until the input ends; raises WireError on what cannot be read."""
+    """Answer batches until the input ends; raises WireError on invalid input."""
     host = Host()
     batch: list[str] = []
     for line in source:
--- a/dunepulley/simhost/wire.py
+++ b/dunepulley/simhost/wire.py
@@ -1,7 +1,8 @@
-"""The simulator's text protocol: lines to events and commands to lines, microseconds to milliseconds.
+"""The simulator's text protocol: converts lines to events and commands to lines.
 
-A line is a name and `name=value` fields, divided by single spaces. `EVENT_READERS` and `COMMAND_WRITERS` hold
-a function for each; what cannot be read raises WireError, KeyError, ValueError or IndexError.
+A line is a name and `name=value` fields, separated by single spaces, with times in microseconds.
+`EVENT_READERS` and `COMMAND_WRITERS` hold a function for each name and each command. Invalid lines raise
+WireError, KeyError, ValueError or IndexError.
 """
 
 from __future__ import annotations
@@ -37,7 +38,7 @@
 )
 from dunepulley.setting_names import NAME_LISTS, is_name_setting, translate_setting
 
-MICROSECONDS = 1000.0  # in a millisecond
+US_PER_MS = 1000.0
 REPORT_SEPARATOR = ":"
 RESULTS = {
     "completed": AttemptResult.COMPLETED,
@@ -65,24 +66,24 @@
 
 
 class WireError(Exception):
-    """A line that cannot be read; the text says why to whoever runs the adapter."""
+    """A line or a batch is invalid; the text gives the reason."""
 
 
 def parse_fields(parts: list[str]) -> Fields:
-    """Return the `name=value` pairs of a split line; raises ValueError where a part is none."""
+    """Return the `name=value` pairs of a split line; raises ValueError for a part of another form."""
     return dict([part.split("=", 1) for part in parts])
 
 
 def milliseconds(microseconds: str) -> float:
-    """Return a number of microseconds in milliseconds; raises ValueError on anything else."""
-    return int(microseconds) / MICROSECONDS
+    """Convert a number of microseconds to milliseconds; raises ValueError for any other text."""
+    return int(microseconds) / US_PER_MS
 
 
 # ---------------------------------------------------------------- settings
 
 
 def parse_settings(fields: Fields) -> dict[str, object]:
-    """Return the settings by name; values that are joined by commas become tuples."""
+    """Return the settings by name; comma-separated values become tuples."""
     return dict([translate_setting(name, _setting_value(name, text)) for name, text in fields.items()])
 
 
@@ -97,7 +98,7 @@
 
 
 def _plain_value(text: str) -> object:
-    """Return a truth value, a number, or the text itself."""
+    """Return a boolean, a number, or the text itself."""
     if text in ("true", "false"):
         return text == "true"
     try:
@@ -110,7 +111,7 @@
 
 
 def parse_list_entry(line: str) -> EndpointEntry:
-    """Return the endpoint of one `item` line, which follow a `roster_change`."""
+    """Return the endpoint of an `item` line; these follow a `roster_change` line."""
     name, *parts = line.split(" ")
     if name != "item":
         raise WireError(f"expected a list entry, got {name!r}")
@@ -178,7 +179,7 @@
 
 
 def _gossip_received(fields: Fields) -> GossipReceived | None:
-    """Return another dispatcher's message; one that cannot be read is passed over, as a lost one is."""
+    """Return another dispatcher's message, or None for an invalid one, which is ignored like a lost one."""
     try:
         return decode_gossip(int(fields["neighbour"]), bytes.fromhex(fields["octets"]))
     except ValueError:
@@ -189,7 +190,7 @@
     return parse_report_text(fields.get("healthInfo"), REPORT_SEPARATOR)
 
 
-# By the name of a line; None for an event that is passed over.
+# Readers by the name of a line; a reader returns None for an event to ignore.
 EVENT_READERS: dict[str, Callable[[Fields], Any]] = {
     "job_in": _request_arrived,
     "ended": _attempt_ended,
@@ -206,7 +207,7 @@
 
 
 def _start_attempt(command: StartAttempt) -> str:
-    timeout_us = max(1, int(command.timeout_ms * MICROSECONDS))
+    timeout_us = max(1, int(command.timeout_ms * US_PER_MS))
     return f"call_out corr={command.request_id} worker={command.endpoint_id} timeoutUs={timeout_us}"
 
 
@@ -215,7 +216,7 @@
 
 
 def _reject(command: Reject) -> str:
-    return f"push_back corr={command.request_id} notBeforeForUs={int(command.retry_after_ms * MICROSECONDS)}"
+    return f"push_back corr={command.request_id} notBeforeForUs={int(command.retry_after_ms * US_PER_MS)}"
 
 
 def _fail(command: Fail) -> str:
@@ -232,8 +233,8 @@
 
 
 def _set_timer(command: SetTimer) -> str:
-    # A microsecond more than rounded down: never before it is due.
-    return f"set_timer spanUs={max(1, int(command.delay_ms * MICROSECONDS) + 1)} token={command.token}"
+    # Rounded up to the next microsecond, so that the timer never fires early.
+    return f"set_timer spanUs={max(1, int(command.delay_ms * US_PER_MS) + 1)} token={command.token}"
 
 
 def _write_log(command: WriteLog) -> str:
--- a/tests/load/test_load_faults.py
+++ b/tests/load/test_load_faults.py
@@ -1,4 +1,4 @@
-"""Which links a fault of a scenario strikes, and when."""
+"""The links and processes that a scenario's faults affect, and the effect on links."""
 
 import json
 
@@ -11,12 +11,12 @@
 
 
 def fault(kind, from_s=0.0, to_s=1.0, one="n0", other="w0", **more):
-    figures = {"kind": kind, "from_s": from_s, "to_s": to_s, "one": one, "other": other} | more
-    lines = [f"{name} = {json.dumps(value)}" for name, value in figures.items()]
+    fields = {"kind": kind, "from_s": from_s, "to_s": to_s, "one": one, "other": other} | more
+    lines = [f"{name} = {json.dumps(value)}" for name, value in fields.items()]
     return "\n".join(["[[fault]]", *lines, ""])
 
 
-DAY = Scenario(dispatchers=3, workers=4, zones=2, way="common")
+SCENARIO = Scenario(dispatchers=3, workers=4, zones=2, way="common")
 
 
 @pytest.mark.parametrize(
@@ -30,53 +30,62 @@
         ("agents@z1", "n0", {("hz1", "n0")}),
     ],
 )
-def test_whom_a_fault_between_two_means(one, other, links):
-    (each,) = faults.planned(DAY._replace(faults=(Fault("cut", 0.0, 1.0, one, other),)), 1)
+def test_resolves_the_ends_of_a_link_fault(one, other, links):
+    (each,) = faults.plan_faults(SCENARIO._replace(faults=(Fault("cut", 0.0, 1.0, one, other),)), 1)
     assert set(each.links) == links and len(each.links) == len(links)
 
 
-def test_a_part_is_drawn_by_the_seed_and_is_at_least_one():
-    scenario = DAY._replace(faults=(Fault("kill", 0.0, 1.0, "dispatchers", part=0.1),))
-    assert {tuple(faults.planned(scenario, seed)[0].who) for seed in range(20)} == {("n0",), ("n1",), ("n2",)}
-    assert faults.planned(scenario, 3)[0].who == faults.planned(scenario, 3)[0].who
+def test_draws_at_least_one_target_by_the_seed():
+    scenario = SCENARIO._replace(faults=(Fault("kill", 0.0, 1.0, "dispatchers", part=0.1),))
+    assert {tuple(faults.plan_faults(scenario, seed)[0].processes) for seed in range(20)} == {
+        ("n0",),
+        ("n1",),
+        ("n2",),
+    }
+    assert faults.plan_faults(scenario, 3)[0].processes == faults.plan_faults(scenario, 3)[0].processes
 
 
 @pytest.mark.parametrize(
-    ("way", "caller", "struck"),
+    ("way", "caller", "directions"),
     [
-        ("there", ("n0", "w0"), (links.THERE,)),
-        ("there", ("w0", "n0"), (links.BACK,)),
-        ("back", ("n0", "w0"), (links.BACK,)),
-        ("back", ("w0", "n0"), (links.THERE,)),
-        ("both", ("n0", "w0"), (links.THERE, links.BACK)),
+        ("there", ("n0", "w0"), (links.FORWARD,)),
+        ("there", ("w0", "n0"), (links.BACKWARD,)),
+        ("back", ("n0", "w0"), (links.BACKWARD,)),
+        ("back", ("w0", "n0"), (links.FORWARD,)),
+        ("both", ("n0", "w0"), (links.FORWARD, links.BACKWARD)),
     ],
 )
-def test_a_cut_one_way_strikes_what_goes_from_one_to_the_other_whoever_calls(way, caller, struck):
+def test_one_way_cut_affects_the_direction_from_one_to_other_for_either_caller(way, caller, directions):
     fault = Fault("cut", 0.0, 1.0, "n0", "w0", way)
-    (each,) = faults.planned(DAY._replace(faults=(fault,)), 1)
-    assert each.ways(caller) == struck
+    (each,) = faults.plan_faults(SCENARIO._replace(faults=(fault,)), 1)
+    assert each.directions(caller) == directions
 
 
 @on_loop
-async def test_faults_over_each_other_leave_a_link_to_the_last_of_them():
-    some = (
+async def test_overlapping_faults_combine_on_a_link():
+    overlapping = (
         Fault("cut", 0.0, 1.0, "n0", "w0", "there"),
         Fault("slow", 0.0, 1.0, "n0", "workers", size=30.0),
         Fault("refuse", 0.0, 1.0, "n0", "w0"),
     )
-    planned = faults.planned(DAY._replace(faults=some), 1)
+    planned = faults.plan_faults(SCENARIO._replace(faults=overlapping), 1)
     record = Record(lambda: 0.0)
-    async with faults.Faults(planned, record, 1) as net:
-        link = net.links["n0", "w0"]
-        there, back = link.ways[links.THERE], link.ways[links.BACK]
-
-        def stands(*active):
-            net.active = {each.number: each for each in planned if each.number in active}
-            net._apply(net.links)
-            return not there.whole.is_set(), not back.whole.is_set(), there.late_ms, link.refusing
-
-        assert stands(0, 1, 2) == (True, False, 30.0, True)
-        assert stands(1, 2) == (False, False, 30.0, True)
-        assert stands(0) == (True, False, 0.0, False)
-        assert stands() == (False, False, 0.0, False)
-        assert net.links["n0", "w1"].ways[links.THERE].late_ms == 0.0
+    async with faults.Faults(planned, record, 1) as running_faults:
+        link = running_faults.links["n0", "w0"]
+        forward, backward = link.directions[links.FORWARD], link.directions[links.BACKWARD]
+
+        def state_with(*active):
+            running_faults.active = {each.number: each for each in planned if each.number in active}
+            running_faults._apply(running_faults.links)
+            return (
+                not forward.connected.is_set(),
+                not backward.connected.is_set(),
+                forward.delay_ms,
+                link.refusing,
+            )
+
+        assert state_with(0, 1, 2) == (True, False, 30.0, True)
+        assert state_with(1, 2) == (False, False, 30.0, True)
+        assert state_with(0) == (True, False, 0.0, False)
+        assert state_with() == (False, False, 0.0, False)
+        assert running_faults.links["n0", "w1"].directions[links.FORWARD].delay_ms == 0.0
--- a/tests/load/test_load_run.py
+++ b/tests/load/test_load_run.py
@@ -1,4 +1,4 @@
-"""Runs between real processes, with faults and without; no process is left behind."""
+"""Runs of the load tool with real processes, with and without faults."""
 
 import asyncio
 import json
@@ -15,7 +15,7 @@
 from dunepulley.load.record import read
 from dunepulley.model.simulation import Simulation
 
-ROUGH = """
+FAULTS = """
 seconds = 6.0
 dispatchers = 3
 workers = 6
@@ -92,29 +92,30 @@
 """
 
 
-def test_a_day_of_faults_between_real_processes_keeps_the_rules_and_is_written_down(tmp_path, capsys, caplog):
-    # Releases, a crash, a late list, a lost zone, and a dispatcher each killed, restarted, standing still.
+def test_run_with_faults_keeps_the_rules_and_is_recorded(tmp_path, capsys, caplog):
+    # The scenario has all disturbances of servers and lists, and one dispatcher each is killed, restarted and
+    # stopped.
     path, record = tmp_path / "day.toml", tmp_path / "record"
-    path.write_text(ROUGH)
+    path.write_text(FAULTS)
     code = main(["load", str(path), "--seeds", "3", "--json", "--record", str(record)])
-    (one,) = json.loads(capsys.readouterr().out)
-    assert code == 0 and not one["broken"] and one["answers"]["200"] > 100
-    assert not caplog.records  # nor a task that nobody waits for
+    (run,) = json.loads(capsys.readouterr().out)
+    assert code == 0 and not run["broken"] and run["answers"]["200"] > 100
+    assert not caplog.records  # asyncio logs tasks whose exceptions were never retrieved
     events = read(str(record))
     assert [event["at"] for event in events] == sorted([event["at"] for event in events])
     seen = {(event["event"], event.get("what", event.get("kind"))) for event in events}
     assert seen >= {("fault", kind) for kind in ("kill", "end", "stop", "cut", "reset", "slow", "clock")}
-    assert seen >= {("worker", what) for what in Simulation.WORKER_CHANGES}
+    assert seen >= {("worker", what) for what in Simulation.SERVER_CHANGES}
     assert seen >= {("process", what) for what in ("killed", "told to end", "ended", "stopped", "goes on")}
     assert not [event for event in events if event["event"] == "fault of the tool"]
-    # Each of those that ended serves again, and the one that was told to end did so well.
+    # The dispatchers that ended serve again, and the terminated one exited with code 0.
     ready = [event["name"] for event in events if event.get("what") == "ready"]
     assert sorted(ready) == ["n0", "n0", "n1", "n1", "n2"]
     assert [event["code"] for event in events if event.get("what") == "ended"] == [0]
     assert main(["load", str(path), "--check", str(record)]) == 0
 
 
-AGENTS = """
+AGENT_FAULTS = """
 seconds = 11.0
 dispatchers = 3
 workers = 6
@@ -148,29 +149,30 @@
 """
 
 
-def test_a_zone_is_lost_while_an_agent_has_died_and_two_cannot_hear_each_other(tmp_path, capsys):
-    # The plan is agreed all the same, and all that is sent after that goes to the zones that are left.
+def test_evacuates_zone_while_one_agent_is_down_and_two_are_disconnected(tmp_path, capsys):
+    # The agents still agree on a plan, and all attempts after that go to the remaining zones.
     path, record = tmp_path / "day.toml", tmp_path / "record"
-    path.write_text(AGENTS)
+    path.write_text(AGENT_FAULTS)
     assert main(["load", str(path), "--seeds", "2", "--json", "--record", str(record)]) == 0
-    (one,) = json.loads(capsys.readouterr().out)
+    (run,) = json.loads(capsys.readouterr().out)
     events = read(str(record))
     begin = next(event["at"] for event in events if event["event"] == "clients begin")
-    assert not one["broken"] and one["answers"]["200"] > 100
+    assert not run["broken"] and run["answers"]["200"] > 100
     assert [event["name"] for event in events if event.get("what") == "killed"] == ["hz1"]
-    # Lost 3 s after clients began, it is left within the 6 s that are promised, and tried again 5 s later.
-    unheard = [event["at"] - begin for event in events if event["event"] == "unheard" and event["wi"]]
-    assert len(unheard) > 5 and max(unheard) < 9000.0
+    # The zone is lost 3 s after the clients start and must be evacuated within 6 s; dispatchers try it again
+    # 5 s later.
+    unanswered = [event["at"] - begin for event in events if event["event"] == "unheard" and event["wi"]]
+    assert len(unanswered) > 5 and max(unanswered) < 9000.0
 
 
 def children_of(process):
-    """What a process has started, of which there are some by now."""
+    """Return the ids of a process's children."""
     found = Path(f"/proc/{process}/task/{process}/children").read_text().split()
     return [int(child) for child in found]
 
 
-def alive(process):
-    """Whether a process still runs; one that nobody has asked for yet does not."""
+def is_running(process):
+    """Return whether a process still runs; a zombie does not."""
     try:
         return Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()[0] != "Z"
     except FileNotFoundError:
@@ -179,7 +181,7 @@
 
 @pytest.mark.parametrize("number", [signal.SIGTERM, signal.SIGINT, signal.SIGKILL])
 @on_loop
-async def test_no_process_is_left_behind_however_the_tool_ends(tmp_path, number):
+async def test_leaves_no_process_behind_however_the_tool_ends(tmp_path, number):
     scenario = tmp_path / "day.toml"
     scenario.write_text("seconds = 60.0\ndispatchers = 2\nload = 0.05\n")
     command = [sys.executable, "-m", "dunepulley", "load", str(scenario)]
@@ -188,15 +190,18 @@
     await until(lambda: len(children_of(tool.pid)) == 2)
     children = children_of(tool.pid)
     tool.send_signal(number)
-    said = (await tool.stderr.read()).decode()
+    error_output = (await tool.stderr.read()).decode()
     await tool.wait()
-    await until(lambda: not any([alive(child) for child in children]))
+    await until(lambda: not any([is_running(child) for child in children]))
     if number != signal.SIGKILL:
-        assert tool.returncode == 2 and said == "dunepulley: told to end; what was started has ended\n"
+        assert (
+            tool.returncode == 2
+            and error_output == "dunepulley: interrupted; all processes that were started have ended\n"
+        )
         assert list(tmp_path.iterdir()) == [scenario]
 
 
-def test_a_day_on_sockets_is_that_of_the_model(tmp_path, capsys):
+def test_load_tool_runs_the_same_scenario_as_the_simulation(tmp_path, capsys):
     text = """
 seconds = 3.0
 dispatchers = 2
@@ -221,7 +226,7 @@
     path = tmp_path / "day.toml"
     path.write_text(text)
     assert main(["load", str(path), "--seeds", "3", "--json"]) == 0
-    (told,) = json.loads(capsys.readouterr().out)
-    foretold = Simulation(runner.scenarios.read(str(path)), 3).run()
-    assert told["items"] == foretold["items"] == sum(told["answers"].values()) > 100
-    assert told["payoff"] > 0.9 and foretold["payoff"] > 0.95 and not told["broken"]
+    (measured,) = json.loads(capsys.readouterr().out)
+    simulated = Simulation(runner.scenarios.read(str(path)), 3).run()
+    assert measured["items"] == simulated["items"] == sum(measured["answers"].values()) > 100
+    assert measured["payoff"] > 0.9 and simulated["payoff"] > 0.95 and not measured["broken"]
--- a/tests/load/test_processes.py
+++ b/tests/load/test_processes.py
@@ -1,4 +1,4 @@
-"""Processes that a load run starts end with it, whenever it is killed."""
+"""Processes that the load tool starts end when it is killed, at whatever time."""
 
 import asyncio
 import contextlib
@@ -10,7 +10,7 @@
 from support.event_loop import on_loop, until
 
 ENDLESS = "import time\ntime.sleep(600.0)\n"
-# Starts one process, which asks to be ended with its parent only once that parent is gone.
+# Starts one process, which calls prctl only once its parent has died.
 PARENT = """
 import asyncio, os, pathlib, sys, time
 from dunepulley.load import processes
@@ -32,21 +32,21 @@
 
 
 def state_of(process):
-    """The state of a process as /proc tells it; empty when it is gone."""
+    """Return the state of a process from /proc, or an empty string if it does not exist."""
     with contextlib.suppress(FileNotFoundError, ProcessLookupError):
         return Path(f"/proc/{process}/stat").read_text().rpartition(")")[2].split()[0]
     return ""
 
 
 def runs_endless(process):
-    """Whether a process has come to run the module that does not end by itself."""
+    """Return whether a process runs the module that does not end by itself."""
     with contextlib.suppress(FileNotFoundError, ProcessLookupError):
         return Path(f"/proc/{process}/cmdline").read_bytes().endswith(b"\0-m\0endless\0")
     return False
 
 
 @on_loop
-async def test_a_child_whose_parent_is_killed_before_it_asks_to_end_with_it_never_runs(tmp_path):
+async def test_child_does_not_run_if_its_parent_died_before_prctl(tmp_path):
     (tmp_path / "endless.py").write_text(ENDLESS)
     environment = os.environ | {"PYTHONPATH": os.pathsep.join([str(Path.cwd()), *sys.path])}
     parent = await asyncio.create_subprocess_exec(sys.executable, "-c", PARENT, cwd=tmp_path, env=environment)
--- a/tests/simhost/test_wire.py
+++ b/tests/simhost/test_wire.py
@@ -1,4 +1,4 @@
-"""The simulator's wire: lines in, lines out, and plain words for what cannot be read."""
+"""The simulator's text protocol: events, commands, settings and errors for invalid input."""
 
 import io
 
@@ -36,7 +36,7 @@
 )
 
 
-def talk(text):
+def run_adapter(text):
     sink = io.StringIO()
     serve(io.StringIO(text), sink)
     return sink.getvalue()
@@ -62,7 +62,7 @@
         ("memo neighbour=2 octets=00123405", GossipReceived(2, False, ((0x1234, 5),))),
     ],
 )
-def test_events(line, event):
+def test_reads_events(line, event):
     name, *parts = line.split(" ")
     assert wire.EVENT_READERS[name](wire.parse_fields(parts)) == event
 
@@ -80,7 +80,7 @@
         (WriteLog("two\nlines"), "write_log reasonText=two lines"),
     ],
 )
-def test_commands(command, line):
+def test_writes_commands(command, line):
     assert wire.COMMAND_WRITERS[type(command)](command) == line
 
 
@@ -96,21 +96,21 @@
         ("reporting.fields", "throughput,backlog", "reporting.fields", ("rate", "queue")),
     ],
 )
-def test_settings(name, text, key, value):
+def test_translates_settings(name, text, key, value):
     assert wire.parse_settings({name: text}) == {key: value}
 
 
-def test_a_batch_and_its_reply():
-    job = "turn momentUs=1002000\ntarget_instance dispatcherId=3\n"
-    job += "job_in corr=a cls=x timeBudgetUs=500000\nend\n"
-    reply = talk("turn momentUs=1\nend\n" + START + job)
+def test_replies_to_a_batch():
+    request = "turn momentUs=1002000\ntarget_instance dispatcherId=3\n"
+    request += "job_in corr=a cls=x timeBudgetUs=500000\nend\n"
+    reply = run_adapter("turn momentUs=1\nend\n" + START + request)
     assert reply.startswith("finished\n")
     assert "for dispatcherId=3\ncall_out corr=a worker=10.0.0.1:80 timeoutUs=500000\n" in reply
     assert reply.endswith("finished\n") and reply.count("finished") == 3
 
 
 @pytest.mark.parametrize(
-    ("text", "word"),
+    ("text", "expected"),
     [
         ("turn momentUs=1\nnonsense a=1\nend\n", "not powered on"),
         (START + "turn momentUs=2000000\ntarget_instance dispatcherId=3\nnonsense a=1\nend\n", "nonsense"),
@@ -121,6 +121,6 @@
         ("turn momentUs=1\n", "inside a batch"),
     ],
 )
-def test_what_cannot_be_read_ends_with_a_plain_line(text, word):
-    with pytest.raises(wire.WireError, match=word):
-        talk(text)
+def test_rejects_invalid_input_with_one_line(text, expected):
+    with pytest.raises(wire.WireError, match=expected):
+        run_adapter(text)
