--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements of our own, against stubs written here: on loopback, bounded in count and time."""
+"""Benchmarks against stub peers on loopback, limited in number of requests and in time."""
--- a/bench/decision_fleet.py
+++ b/bench/decision_fleet.py
@@ -1,4 +1,4 @@
-"""A simulated fleet around one router: deterministic, and as rough as a scenario says."""
+"""A deterministic simulated fleet around one router, with the faults that a scenario asks for."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from random import Random
 from typing import Any
 
-from bench.decision_scenarios import BUDGETS, START_MS, Scenario
+from bench.decision_scenarios import START_MS, TIMEOUTS_MS, Scenario
 from dunepulley.routing import router
 from dunepulley.routing.commands import (
     CancelAttempt,
@@ -43,7 +43,10 @@
 
 @dataclass
 class Endpoint:
-    """A simulated endpoint."""
+    """A simulated endpoint: its list entry, its slots, and the attempts that run or wait.
+
+    `background` is the mean fraction of the slots that other dispatchers use.
+    """
 
     entry: EndpointEntry
     slots: int
@@ -53,14 +56,14 @@
 
 
 class Discovery:
-    """The endpoints of a fleet, and what the list says of them."""
+    """The endpoints of a fleet and the updates of the endpoint list."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet, self.scenario, self.random = fleet, fleet.scenario, fleet.random
         self.endpoints: dict[str, Endpoint] = {}
 
     def new_entry(self, cold: bool) -> EndpointEntry:
-        """A new endpoint as discovery lists it."""
+        """Add an endpoint and return its list entry; a cold one has started in the last 25 s."""
         random, number = self.random, len(self.endpoints)
         entry = EndpointEntry(
             f"w{number}",
@@ -76,18 +79,20 @@
         return entry
 
     def change(self) -> list[Any]:
-        """Discovery tells a change: new endpoints, drains, ends, returns, weights; or the whole list."""
+        """A random list update: one new, drained, removed, restarted or reweighted endpoint, or the list."""
         scenario, random = self.scenario, self.random
         self.fleet.at(1000.0 / scenario.list_changes * random.uniform(0.5, 1.5), self.change)
         draw = random.random()
         if draw < scenario.full_lists:
-            how = random.choice((ListUpdateKind.FULL, ListUpdateKind.FROM_DISK, ListUpdateKind.FAILED))
-            here = [
-                each.entry for each in self.endpoints.values() if each.entry.state != EndpointState.REMOVED
+            kind = random.choice((ListUpdateKind.FULL, ListUpdateKind.FROM_DISK, ListUpdateKind.FAILED))
+            entries = [
+                endpoint.entry
+                for endpoint in self.endpoints.values()
+                if endpoint.entry.state != EndpointState.REMOVED
             ]
             if random.random() < 0.5:
-                here = here[1:]
-            return [EndpointListUpdate(how, tuple(here))]
+                entries = entries[1:]
+            return [EndpointListUpdate(kind, tuple(entries))]
         endpoint = random.choice(list(self.endpoints.values()))
         old = endpoint.entry
         if draw < 0.3:
@@ -124,25 +129,25 @@
         self.scenario = scenario
         self.random = Random(scenario.seed * 1000 + scenario.endpoints)
         self.now = START_MS
-        self.due: list[tuple] = []
-        self.order = 0
+        self.scheduled: list[tuple] = []
+        self.sequence = 0
         self.settings = scenario.all_settings()
         self.dispatcher = factory(scenario.seed, self.settings, START_MS)
         self.discovery = Discovery(self)
         self.endpoints = self.discovery.endpoints
         self.attempts: dict[tuple[str, int], str] = {}
-        self.count: Counter[str] = Counter()
+        self.counts: Counter[str] = Counter()
         self.unanswered: dict[str, RequestArrived] = {}
-        self.down: set[str] = set()
+        self.failed: set[str] = set()
         self.commands: Counter[str] = Counter()
 
-    def at(self, delay: float, what: Any) -> None:
-        """Deliver an event, or call, after so many ms."""
-        self.order += 1
-        heappush(self.due, (self.now + delay, self.order, what))
+    def at(self, delay_ms: float, action: Any) -> None:
+        """Schedule an event, or a function that returns events, in `delay_ms`."""
+        self.sequence += 1
+        heappush(self.scheduled, (self.now + delay_ms, self.sequence, action))
 
     def batches(self) -> Iterator[tuple[float, list[Any], list[Any]]]:
-        """Play the day; yields the time, the events of a batch and the commands."""
+        """Run the scenario; yields the time in ms, the events and the commands of each batch."""
         scenario, random = self.scenario, self.random
         entries = [
             self.discovery.new_entry(random.random() < scenario.cold_at_start)
@@ -160,43 +165,45 @@
             self.at(5000.0, SlowStartBudgetAssigned(True))
         if scenario.crash_s:
             self.at(1000.0 * scenario.crash_s, self.crash)
-        while self.due and self.due[0][0] < end:
-            self.now = self.due[0][0]
+        while self.scheduled and self.scheduled[0][0] < end:
+            self.now = self.scheduled[0][0]
             events = []
-            while self.due and self.due[0][0] <= self.now + 0.2:
-                when, _, what = heappop(self.due)
+            while self.scheduled and self.scheduled[0][0] <= self.now + 0.2:
+                when, _, action = heappop(self.scheduled)
                 self.now = max(self.now, when)
-                if callable(what):
-                    events += what() or []
+                if callable(action):
+                    events += action() or []
                 else:
-                    events.append(what)
+                    events.append(action)
             if not events:
                 continue
             events = in_order(events)
             commands = list(self.dispatcher.handle(self.now, events))
             for command in commands:
-                self.take(command)
+                self.apply(command)
             yield self.now, events, commands
 
     def arrive(self) -> list[Any]:
         scenario, random = self.scenario, self.random
         self.at(random.expovariate(scenario.rate) * 1000.0, self.arrive)
-        self.count["arrived"] += 1
-        request_id = f"r{self.count['arrived']}"
+        self.counts["arrived"] += 1
+        request_id = f"r{self.counts['arrived']}"
         return [self.request(request_id, random.choice(scenario.classes), False)]
 
     def request(self, request_id: str, name: str, repeat: bool) -> RequestArrived:
         scenario, random = self.scenario, self.random
         size = random.choice(scenario.sizes)
-        hint = scenario.run_ms * size * random.choice((0.5, 1.0, 1.0, 2.0)) if scenario.hints else 0.0
-        budget = random.choice(BUDGETS) * (0.6 if repeat else 1.0)
+        expected_run_ms = (
+            scenario.run_ms * size * random.choice((0.5, 1.0, 1.0, 2.0)) if scenario.hints else 0.0
+        )
+        timeout_ms = random.choice(TIMEOUTS_MS) * (0.6 if repeat else 1.0)
         event = RequestArrived(
             request_id,
             name,
-            budget,
+            timeout_ms,
             random.choice((1.0, 1.0, 1.0, 1.0, 2.0)),
             f"t{int(random.random() ** 2 * scenario.tenants)}" if scenario.tenants else "",
-            hint,
+            expected_run_ms,
             repeat,
             f"k{int(random.random() ** 3 * scenario.keys)}"
             if scenario.keys and random.random() < 0.7
@@ -211,17 +218,17 @@
     def disconnect(self, request_id: str) -> list[Any]:
         return [ClientDisconnected(request_id)] if self.unanswered.pop(request_id, None) else []
 
-    def take(self, command: Any) -> None:
-        """Answer one command of the dispatcher."""
+    def apply(self, command: Any) -> None:
+        """Simulate the effect of one command of the dispatcher."""
         random = self.random
         self.commands[type(command).__name__] += 1
         if isinstance(command, StartAttempt):
-            number = self.count[command.request_id]
-            self.count[command.request_id] += 1
+            number = self.counts[command.request_id]
+            self.counts[command.request_id] += 1
             self.attempts[command.request_id, number] = command.endpoint_id
             self.at(
                 ONE_WAY_MS * random.uniform(0.8, 1.5),
-                lambda: self.reach(command.request_id, number, command.endpoint_id),
+                lambda: self.arrive_at_endpoint(command.request_id, number, command.endpoint_id),
             )
         elif isinstance(command, CancelAttempt):
             result = AttemptResult.CANCEL_UNCONFIRMED if random.random() < 0.15 else AttemptResult.CANCELLED
@@ -229,8 +236,8 @@
         elif isinstance(command, Reject):
             event = self.unanswered.pop(command.request_id, None)
             if event and random.random() < 0.6:
-                self.count["arrived"] += 1
-                request_id = f"r{self.count['arrived']}"
+                self.counts["arrived"] += 1
+                request_id = f"r{self.counts['arrived']}"
                 self.at(
                     command.retry_after_ms + random.uniform(20.0, 80.0),
                     lambda: [self.request(request_id, event.request_class, True)],
@@ -238,30 +245,30 @@
         elif isinstance(command, Fail):
             self.unanswered.pop(command.request_id, None)
         elif isinstance(command, CheckHealth):
-            self.at(2.0 * ONE_WAY_MS, lambda: self.health_checked(command.endpoint_id))
+            self.at(2.0 * ONE_WAY_MS, lambda: self.end_health_check(command.endpoint_id))
         elif isinstance(command, SetTimer):
-            late = 120.0 if random.random() < self.scenario.late_alarms else 0.0
-            self.at(command.delay_ms + late, TimerFired(command.token))
+            late_ms = 120.0 if random.random() < self.scenario.late_alarms else 0.0
+            self.at(command.delay_ms + late_ms, TimerFired(command.token))
 
-    def health_checked(self, endpoint_id: str) -> list[Any]:
-        if endpoint_id in self.down or self.random.random() < 0.03:
+    def end_health_check(self, endpoint_id: str) -> list[Any]:
+        if endpoint_id in self.failed or self.random.random() < 0.03:
             return [HealthCheckEnded(endpoint_id, AttemptResult.CONNECT_FAILED, 5.0)]
         return [HealthCheckEnded(endpoint_id, AttemptResult.COMPLETED, 3.0, self.report(endpoint_id))]
 
     def report(self, endpoint_id: str) -> dict[str, float]:
         endpoint = self.endpoints[endpoint_id]
-        held = endpoint.running + self.random.uniform(0.5, 1.5) * endpoint.background * endpoint.slots
+        in_flight = endpoint.running + self.random.uniform(0.5, 1.5) * endpoint.background * endpoint.slots
         report = {"rate": 2.0 + 3.0 * endpoint.entry.capacity * self.random.random()}
-        report["x0"] = max(0.0, float(int(endpoint.slots - held)))
-        report["queue"] = float(max(0, int(held - endpoint.slots)))
+        report["x0"] = max(0.0, float(int(endpoint.slots - in_flight)))
+        report["queue"] = float(max(0, int(in_flight - endpoint.slots)))
         return report
 
-    def reach(self, request_id: str, number: int, endpoint_id: str) -> list[Any]:
-        """An attempt comes to its endpoint."""
+    def arrive_at_endpoint(self, request_id: str, number: int, endpoint_id: str) -> list[Any]:
+        """Simulate the arrival of an attempt at its endpoint."""
         if (request_id, number) not in self.attempts:
             return []
         endpoint, draw = self.endpoints[endpoint_id], self.random.random()
-        if endpoint_id in self.down:
+        if endpoint_id in self.failed:
             return self.end(request_id, number, AttemptResult.CONNECT_FAILED)
         if draw < self.scenario.faults:
             results = (
@@ -282,17 +289,17 @@
                 )
             )
             return self.end(request_id, number, result)
-        held = endpoint.running + len(endpoint.waiting)
-        if held + int(endpoint.background * self.random.uniform(0.5, 1.5) * endpoint.slots) >= (
+        in_flight = endpoint.running + len(endpoint.waiting)
+        if in_flight + int(endpoint.background * self.random.uniform(0.5, 1.5) * endpoint.slots) >= (
             endpoint.slots + self.scenario.queue
         ):
             return self.end(request_id, number, AttemptResult.REJECTED)
         if draw > 1.0 - self.scenario.stalls:
-            self.at(self.random.uniform(50.0, 1500.0), lambda: self.join(request_id, number, endpoint_id))
+            self.at(self.random.uniform(50.0, 1500.0), lambda: self.enqueue(request_id, number, endpoint_id))
             return []
-        return self.join(request_id, number, endpoint_id)
+        return self.enqueue(request_id, number, endpoint_id)
 
-    def join(self, request_id: str, number: int, endpoint_id: str) -> list[Any]:
+    def enqueue(self, request_id: str, number: int, endpoint_id: str) -> list[Any]:
         """Queue an attempt at its endpoint, unless it has ended."""
         if (request_id, number) not in self.attempts:
             return []
@@ -300,28 +307,29 @@
         return self.start_next(endpoint_id)
 
     def start_next(self, endpoint_id: str) -> list[Any]:
-        """Begin what waits, while slots are free."""
+        """Start waiting attempts while slots are free."""
         endpoint, events = self.endpoints[endpoint_id], []
         while endpoint.waiting and endpoint.running < endpoint.slots:
             request_id, number = endpoint.waiting.pop(0)
             endpoint.running += 1
             event = self.unanswered.get(request_id)
-            usual = event.expected_ms if event and event.expected_ms else self.scenario.run_ms
-            run = usual * self.random.uniform(0.4, 2.0)
+            expected_ms = event.expected_ms if event and event.expected_ms else self.scenario.run_ms
+            run_ms = expected_ms * self.random.uniform(0.4, 2.0)
             if self.settings["familyInfo.tellsStart"]:
                 events.append(AttemptStarted(request_id, number))
             elif self.random.random() < 0.6:
                 self.at(
-                    0.5 * run, lambda request_id=request_id, number=number: self.progress(request_id, number)
+                    0.5 * run_ms,
+                    lambda request_id=request_id, number=number: self.progress(request_id, number),
                 )
             if self.random.random() < self.scenario.streaming:
                 self.at(
-                    0.9 * run, lambda request_id=request_id, number=number: self.stream(request_id, number)
+                    0.9 * run_ms, lambda request_id=request_id, number=number: self.stream(request_id, number)
                 )
             self.at(
-                run,
-                lambda request_id=request_id, number=number, run=run: self.finish(
-                    endpoint_id, request_id, number, run
+                run_ms,
+                lambda request_id=request_id, number=number, run_ms=run_ms: self.finish(
+                    endpoint_id, request_id, number, run_ms
                 ),
             )
         return events
@@ -336,19 +344,19 @@
             else []
         )
 
-    def finish(self, endpoint_id: str, request_id: str, number: int, run: float) -> list[Any]:
+    def finish(self, endpoint_id: str, request_id: str, number: int, run_ms: float) -> list[Any]:
         self.endpoints[endpoint_id].running -= 1
-        return self.end(request_id, number, AttemptResult.COMPLETED, run) + self.start_next(endpoint_id)
+        return self.end(request_id, number, AttemptResult.COMPLETED, run_ms) + self.start_next(endpoint_id)
 
-    def end(self, request_id: str, number: int, result: str, took: float = 2.0) -> list[Any]:
-        """Tell how an attempt ended, once."""
+    def end(self, request_id: str, number: int, result: str, duration_ms: float = 2.0) -> list[Any]:
+        """The event for the end of an attempt; empty if the attempt has ended already."""
         endpoint_id = self.attempts.pop((request_id, number), None)
         if endpoint_id is None:
             return []
         endpoint = self.endpoints[endpoint_id]
         if (request_id, number) in endpoint.waiting:
             endpoint.waiting.remove((request_id, number))
-        over = result == AttemptResult.COMPLETED and self.unanswered.pop(request_id, None) is not None
+        is_answered = result == AttemptResult.COMPLETED and self.unanswered.pop(request_id, None) is not None
         is_reported = self.scenario.reports and result in (
             AttemptResult.COMPLETED,
             AttemptResult.REJECTED,
@@ -360,27 +368,27 @@
                 number,
                 result,
                 endpoint_id,
-                took,
-                over,
+                duration_ms,
+                is_answered,
                 self.report(endpoint_id) if is_reported else None,
             )
         ]
 
     def crash(self) -> list[Any]:
-        """A third of the endpoints break for two seconds, with all that runs there."""
-        self.down = {name for number, name in enumerate(self.endpoints) if number % 3 == 0}
-        self.at(2000.0, self.down.clear)
+        """A third of the endpoints fail for two seconds, and their attempts with them."""
+        self.failed = {name for number, name in enumerate(self.endpoints) if number % 3 == 0}
+        self.at(2000.0, self.failed.clear)
         events = []
         for (request_id, number), endpoint_id in list(self.attempts.items()):
-            if endpoint_id in self.down:
+            if endpoint_id in self.failed:
                 events += self.end(request_id, number, AttemptResult.CONNECTION_LOST)
         return events
 
     def gossip(self) -> list[Any]:
-        """Notes of other dispatchers."""
+        """A gossip message from another dispatcher."""
         random = self.random
         self.at(random.uniform(40.0, 120.0), self.gossip)
         names = random.sample(list(self.endpoints), min(20, len(self.endpoints)))
-        held = tuple([(fnv1a_64(name) & 0xFFFF, random.randrange(0, 6)) for name in names])
+        in_flight = tuple([(fnv1a_64(name) & 0xFFFF, random.randrange(0, 6)) for name in names])
         peers = int(self.settings["balancers"])
-        return [GossipReceived(random.randrange(peers), random.random() < 0.5, held)]
+        return [GossipReceived(random.randrange(peers), random.random() < 0.5, in_flight)]
--- a/bench/decision_scenarios.py
+++ b/bench/decision_scenarios.py
@@ -1,4 +1,4 @@
-"""The scenarios of the decision recordings: the fleet, its traffic and its settings."""
+"""The scenarios of the decision recordings: fleet, traffic and settings."""
 
 from __future__ import annotations
 
@@ -8,10 +8,10 @@
 from dunepulley.routing.settings import Idempotency
 
 START_MS = 100_000.0
-# Some clients are impatient.
-BUDGETS = (3000.0,) * 7 + (900.0, 2500.0)
+# Request timeouts in ms, drawn at random; two of nine clients use a shorter one.
+TIMEOUTS_MS = (3000.0,) * 7 + (900.0, 2500.0)
 
-BASE = {
+BASE_SETTINGS = {
     "balancers": 4.0,
     "me": 1.0,
     "zone": "a",
@@ -48,7 +48,7 @@
 
 @dataclass
 class Scenario:
-    """One simulated day: times are seconds, rates are per second."""
+    """One simulated scenario; times are in seconds, rates per second, unless a name ends with `_ms`."""
 
     name: str
     endpoints: int
@@ -60,11 +60,11 @@
     slots: int = 4
     queue: int = 2
     run_ms: float = 120.0
-    # The part of the slots that other dispatchers hold, and how much it swings.
+    # The mean fraction of the slots that other dispatchers use; it varies by endpoint and over time.
     background: float = 0.15
-    # The part of attempts that end otherwise than well.
+    # The fraction of attempts that fail.
     faults: float = 0.02
-    # The part of attempts that stand behind others' requests for a while, of which no report tells.
+    # The fraction of attempts that wait behind other requests, a wait that load reports do not show.
     stalls: float = 0.03
     reports: bool = True
     hints: bool = False
@@ -74,7 +74,7 @@
     sizes: tuple[float, ...] = (1.0,)
     kinds: tuple[str, ...] = ("box",)
     gossip: bool = False
-    # The part of clients that disconnect before the answer.
+    # The fraction of clients that disconnect before the response.
     disconnected: float = 0.01
     streaming: float = 0.1
     cold_at_start: float = 0.0
@@ -85,8 +85,8 @@
     weights: tuple[float, ...] = (1.0, 2.0)
 
     def all_settings(self) -> dict[str, Any]:
-        """The settings of the dispatcher."""
-        settings = BASE | self.settings
+        """The dispatcher's settings: `BASE_SETTINGS`, those of the scenario and those of its tenants."""
+        settings = BASE_SETTINGS | self.settings
         if self.tenants:
             settings |= {"parties.count": float(self.tenants), "overagePayoff": 0.2}
             for number in range(self.tenants):
@@ -97,7 +97,7 @@
         return settings
 
 
-THIN = {"balancers": 200.0, "me": 17.0}
+LARGE_FLEET = {"balancers": 200.0, "me": 17.0}
 GOSSIP = {"policyLimits.peers": True}
 
 SCENARIOS = (
@@ -175,7 +175,7 @@
     Scenario(
         "lanes-80",
         80,
-        settings=THIN,
+        settings=LARGE_FLEET,
         sizes=(0.3, 1.0, 2.5),
         hints=True,
         rate=40.0,
@@ -185,7 +185,13 @@
         weights=(1.0, 2.0, 3.0),
     ),
     Scenario(
-        "lanes-busy-60", 60, settings=THIN, sizes=(0.3, 1.0, 6.0), rate=50.0, background=0.9, faults=0.1
+        "lanes-busy-60",
+        60,
+        settings=LARGE_FLEET,
+        sizes=(0.3, 1.0, 6.0),
+        rate=50.0,
+        background=0.9,
+        faults=0.1,
     ),
     Scenario(
         "zone-group-50",
@@ -205,12 +211,12 @@
         rate=60.0,
         faults=0.1,
     ),
-    Scenario("lanes-200", 200, settings=THIN, length_s=25.0, classes=("look",), full_lists=0.1),
+    Scenario("lanes-200", 200, settings=LARGE_FLEET, length_s=25.0, classes=("look",), full_lists=0.1),
     Scenario(
         "lanes-kept-400",
         400,
         length_s=20.0,
-        settings=THIN | {"prices.handshake": 0.02},
+        settings=LARGE_FLEET | {"prices.handshake": 0.02},
         sizes=(0.5, 3.0),
         hints=True,
     ),
@@ -218,7 +224,7 @@
         "lanes-3200",
         3200,
         length_s=20.0,
-        settings=THIN,
+        settings=LARGE_FLEET,
         slots=1,
         run_ms=300.0,
         hints=True,
@@ -226,7 +232,9 @@
         background=0.5,
     ),
     Scenario("stalls-40", 40, stalls=0.3, settings={"policyLimits.secondCopies": True}, length_s=20.0),
-    Scenario("lanes-3200-full", 3200, settings=THIN, slots=1, background=1.5, length_s=8.0, faults=0.1),
+    Scenario(
+        "lanes-3200-full", 3200, settings=LARGE_FLEET, slots=1, background=1.5, length_s=8.0, faults=0.1
+    ),
     Scenario(
         "wide-3200", 3200, length_s=20.0, settings={"balancers": 3.0}, cold_at_start=0.05, full_lists=0.2
     ),
@@ -242,12 +250,12 @@
         "kept-3200",
         3200,
         length_s=20.0,
-        settings=THIN | {"prices.handshake": 0.05},
+        settings=LARGE_FLEET | {"prices.handshake": 0.05},
         classes=("look",),
         rate=60.0,
     ),
 )
-# The recordings small and quick enough for the tests.
+# Scenarios whose recordings are small and quick enough for the tests.
 SMALL = (
     "copies-40",
     "gossip-relay-60",
--- a/bench/decision_trace.py
+++ b/bench/decision_trace.py
@@ -1,14 +1,14 @@
-"""Records the router's events and the commands that came back, and compares the present version against them.
+"""Records the events and commands of the router, and compares the present version with a recording.
 
-    python -m bench.decision_trace record FOLDER [--only NAME]     # plays every scenario, one file each
-    python -m bench.decision_trace compare FOLDER [--only NAME]    # exit 1 at the first different command
-    python -m bench.decision_trace coverage                        # lines of the package the scenarios reach
+    python -m bench.decision_trace record FOLDER [--only NAME]     # runs each scenario, one file each
+    python -m bench.decision_trace compare FOLDER [--only NAME]    # exit code 1 if a command differs
+    python -m bench.decision_trace coverage                        # lines that no scenario executes
 
 A file is gzipped JSON lines: first `[seed, settings, start_ms]`, then `[now_ms, events, commands]` for each
-batch. An event or a command is `[kind, field, field, ...]`: the kind is its place in the tables below, the
-fields are in the order of `dunepulley/routing/events.py` and `commands.py`, so that names may change without
-new recordings. Floats are written in full, so equal lines mean commands equal to the bit. The fleet that
-answers the commands is simulated, deterministic, and not needed to compare.
+batch. An event or a command is `[kind, field, field, ...]`: the kind is its index in the tables below, the
+fields are in the order of `dunepulley/routing/events.py` and `commands.py`, so that renames need no new
+recordings. Floats are written with full precision, so equal lines mean bit-identical commands. The fleet that
+answers the commands is simulated and deterministic; a comparison does not need it.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
     TimerFired,
 )
 
-# The place of a kind in these tables is what a recording holds: add at the end only.
+# Recordings hold indexes into these tables, so new kinds may only be appended.
 EVENT_KINDS = (
     EndpointListUpdate,
     RequestArrived,
@@ -75,62 +75,63 @@
 
 
 class SourceLine(NamedTuple):
-    """A line of a source file, counted from 1."""
+    """A line of a source file; numbers begin at 1."""
 
     file: str
     number: int
 
 
 def pack(message: Any, kinds: tuple[type, ...]) -> list[Any]:
-    """An event or a command as its kind's place and its fields."""
+    """Encode an event or a command as the index of its kind and its fields."""
     return [kinds.index(type(message)), *message]
 
 
 def unpack_event(packed: list[Any]) -> Any:
-    """The event of a recording."""
+    """Decode an event of a recording."""
     kind = EVENT_KINDS[packed[0]]
     fields = list(packed[1:])
     if kind is EndpointListUpdate:
         fields[1] = tuple([EndpointEntry(*entry) for entry in fields[1]])
     if kind is GossipReceived:
-        fields[2] = tuple([(short, held) for short, held in fields[2]])
+        fields[2] = tuple([(endpoint_hash, in_flight) for endpoint_hash, in_flight in fields[2]])
     return kind(*fields)
 
 
 def unpack_settings(packed: dict[str, Any]) -> dict[str, Any]:
-    """Settings of a recording: several values are a tuple."""
+    """Decode the settings of a recording; lists become tuples."""
     return {name: tuple(value) if isinstance(value, list) else value for name, value in packed.items()}
 
 
 def line(*values: Any) -> str:
-    """One line of a recording."""
+    """Encode one line of a recording."""
     return json.dumps(values, separators=(",", ":"))
 
 
 def record(scenario: Scenario, path: Path) -> Counter[str]:
-    """Play a scenario and write it; returns how many commands of each kind came."""
+    """Run a scenario and write its recording; returns the number of commands of each kind."""
     fleet = Fleet(scenario)
     with gzip.GzipFile(path, "wb", mtime=0) as file:
         file.write(line(scenario.seed, fleet.settings, START_MS).encode() + b"\n")
         for now, events, commands in fleet.batches():
             packed = [pack(event, EVENT_KINDS) for event in events]
-            answer = [pack(command, COMMAND_KINDS) for command in commands]
-            file.write(line(now, packed, answer).encode() + b"\n")
+            packed_commands = [pack(command, COMMAND_KINDS) for command in commands]
+            file.write(line(now, packed, packed_commands).encode() + b"\n")
     return fleet.commands
 
 
 def compare(path: Path) -> str:
-    """Replay a recording; returns what differs first, or nothing."""
+    """Replay a recording; returns a description of the first difference, empty if there is none."""
     with gzip.open(path, "rt") as file:
         seed, settings, start = json.loads(next(file))
         dispatcher = router.Router(seed, unpack_settings(settings), start)
         for number, text in enumerate(file, 1):
-            now, events, wanted = json.loads(text)
+            now, events, expected = json.loads(text)
             commands = dispatcher.handle(now, [unpack_event(event) for event in events])
-            got = json.loads(json.dumps([pack(command, COMMAND_KINDS) for command in commands]))
-            if got != wanted:
+            actual = json.loads(json.dumps([pack(command, COMMAND_KINDS) for command in commands]))
+            if actual != expected:
                 return (
-                    f"batch {number} at {now} ms\n  events   {events}\n  recorded {wanted}\n  got      {got}"
+                    f"batch {number} at {now} ms\n  events   {events}\n  recorded {expected}\n"
+                    f"  got      {actual}"
                 )
     return ""
 
@@ -141,7 +142,7 @@
 
 
 def coverage(scenarios: list[Scenario]) -> tuple[set[SourceLine], set[SourceLine]]:
-    """The lines of the routing package that are reached, and those that can be."""
+    """The lines of the routing package that the scenarios execute, and all lines of its functions."""
     reached: set[SourceLine] = set()
     files = frozenset(package_files())
 
@@ -164,7 +165,7 @@
 
 
 def lines_of_functions(file: str) -> set[SourceLine]:
-    """The lines within a file's functions; not those that run once at its import."""
+    """The lines within a file's functions, without those that run at import."""
     lines: set[SourceLine] = set()
     codes = [compile(Path(file).read_text(), file, "exec")]
     while codes:
@@ -177,7 +178,7 @@
 
 
 def print_coverage(scenarios: list[Scenario]) -> None:
-    """Write each line that no scenario reaches, then how many are reached."""
+    """Print each line that no scenario executes, then how many are executed."""
     reached, lines = coverage(scenarios)
     for file in package_files():
         text = Path(file).read_text().splitlines()
@@ -188,30 +189,30 @@
 
 
 def main() -> int:
-    """The command line."""
+    """Parse the command line and run it; return the exit code."""
     parser = argparse.ArgumentParser(description="Record and compare the decisions of the decision module.")
     parser.add_argument("what", choices=("record", "compare", "coverage"))
     parser.add_argument("folder", type=Path, nargs="?", default=Path())
-    parser.add_argument("--only", default="", help="the scenarios whose name holds this")
-    parser.add_argument("--small", action="store_true", help="only those kept with the tests")
+    parser.add_argument("--only", default="", help="only scenarios whose name contains this")
+    parser.add_argument("--small", action="store_true", help="only scenarios that the tests use")
     options = parser.parse_args()
-    chosen = [each for each in SCENARIOS if options.only in each.name]
+    scenarios = [scenario for scenario in SCENARIOS if options.only in scenario.name]
     if options.small:
-        chosen = [each for each in chosen if each.name in SMALL]
+        scenarios = [scenario for scenario in scenarios if scenario.name in SMALL]
     if options.what == "coverage":
-        print_coverage(chosen)
+        print_coverage(scenarios)
         return 0
-    different = 0
-    for scenario in chosen:
+    differing = 0
+    for scenario in scenarios:
         path = options.folder / f"{scenario.name}.jsonl.gz"
         if options.what == "record":
             options.folder.mkdir(parents=True, exist_ok=True)
             print(f"{scenario.name}: {dict(record(scenario, path))}", flush=True)
         else:
-            said = compare(path)
-            different += bool(said)
-            print(f"{scenario.name}: {said[:3000] or 'the same'}", flush=True)
-    return 1 if different else 0
+            difference = compare(path)
+            differing += bool(difference)
+            print(f"{scenario.name}: {difference[:3000] or 'the same'}", flush=True)
+    return 1 if differing else 0
 
 
 if __name__ == "__main__":
--- a/bench/drain_fleet.py
+++ b/bench/drain_fleet.py
@@ -1,11 +1,11 @@
-"""Drain half of the workers at many dispatchers, and see whether any sends them new work too late.
+"""Drain half of the endpoints at many dispatchers and check that none sends them new requests too late.
 
     python -m bench.drain_fleet --instances 20 --workers 40 --hang --restart
 
-Starts the dispatchers, an agent and stub workers, has `ctl` drain a zone under load, and restore it. With
-`--hang` one dispatcher stands still while the drain is told, with `--restart` one is killed and started anew
-meanwhile. The exit code is 0 where no dispatcher sent new work to a drained worker later than 300 ms after it
-was told.
+Starts the dispatchers, an agent and stub endpoints, then has `ctl` drain a zone under load and restore it.
+With `--hang` one dispatcher is stopped (SIGSTOP) while the agent pushes the drain; with `--restart` one is
+killed and restarted after the drain. The exit code is 0 if no dispatcher sent a new request to a drained
+endpoint more than 300 ms after the agent notified that dispatcher.
 """
 
 from __future__ import annotations
@@ -26,42 +26,43 @@
 
 import aiohttp
 
-from bench.stub_workers import Clients, Workers
+from bench.stub_workers import LoadGenerator, StubEndpoints
 from dunepulley.agent import wire
 from dunepulley.agent.admin_call import NoAnswerError, call
 from dunepulley.load.local import discovery, free_ports
 from dunepulley.load.processes import Processes
 
 GRACE_MS = 300.0
-# What was sent before a process was killed may be read a moment later; the next one takes longer to start.
-ARRIVES_MS = 100.0
+# Bytes that a process sent before it was killed may arrive this much later. Its successor takes longer to
+# start, so later arrivals are the successor's.
+ARRIVAL_GRACE_MS = 100.0
 ZONES = ("north", "south")
-# Long enough for the loaded machine that CI may be; nothing waits for it to pass.
-PATIENCE_S = 30.0
-MOST_S = 120.0
+# An upper bound for a heavily loaded CI machine; every wait ends as soon as its condition holds.
+READY_TIMEOUT_S = 30.0
+MAX_LOAD_S = 120.0
 
 
 class Fleet(Processes):
-    """The dispatchers and their agent, as processes."""
+    """The processes of the dispatchers and of their agent."""
 
     def __init__(self, folder: Path, count: int, discovery: str) -> None:
         super().__init__(folder)
         self.names = [f"n{number}" for number in range(count)]
         ports = free_ports(2 * count + 1)
         self.listen = {name: f"127.0.0.1:{ports[n]}" for n, name in enumerate(self.names)}
-        self.console = {name: f"127.0.0.1:{ports[count + n]}" for n, name in enumerate(self.names)}
+        self.admin = {name: f"127.0.0.1:{ports[count + n]}" for n, name in enumerate(self.names)}
         self.agent = f"127.0.0.1:{ports[-1]}"
         self.discovery = discovery
 
     def write(self, members: list[dict[str, Any]]) -> None:
-        """The files of all of them."""
-        category = {"name": "look", "effect": "read_like", "dueTimeUs": 1000000, "expiryUs": 4000000}
+        """Write the configuration files of the dispatchers and of the agent."""
+        request_class = {"name": "look", "effect": "read_like", "dueTimeUs": 1000000, "expiryUs": 4000000}
         lines = [f'listen = "{self.agent}"', 'state = "drains.json"', "answer_s = 1.0"]
         for number, name in enumerate(self.names):
-            told = {
+            config = {
                 "name": name,
                 "listen": self.listen[name],
-                "console": self.console[name],
+                "console": self.admin[name],
                 "discovery": self.discovery,
                 "drains": str(self.folder / "drains.json"),
                 "limits": {"sockets": 512},
@@ -71,185 +72,191 @@
                     "balancers": len(self.names),
                     "me": number,
                     "zone": ZONES[number % 2],
-                    "categories": [category],
+                    "categories": [request_class],
                     "policyLimits": {"mostHandOffs": 3, "cancel": True},
                 },
             }
-            (self.folder / f"{name}.json").write_text(json.dumps(told))
-            lines += ["[[dispatcher]]", f'name = "{name}"', f'console = "{self.console[name]}"']
+            (self.folder / f"{name}.json").write_text(json.dumps(config))
+            lines += ["[[dispatcher]]", f'name = "{name}"', f'console = "{self.admin[name]}"']
         (self.folder / "agent.toml").write_text("\n".join(lines) + "\n")
 
     async def start(self, name: str) -> None:
-        """Start a dispatcher, or the agent."""
-        what, file = ("agent", "agent.toml") if name == "agent" else ("serve", f"{name}.json")
-        await self.run(name, "dunepulley", what, "--config", file)
+        """Start a dispatcher, or the agent if the name is "agent"."""
+        command, file = ("agent", "agent.toml") if name == "agent" else ("serve", f"{name}.json")
+        await self.run(name, "dunepulley", command, "--config", file)
 
-    async def serves(self, name: str) -> None:
-        """Wait until a dispatcher serves."""
-        async with asyncio.timeout(PATIENCE_S):
+    async def wait_until_healthy(self, name: str) -> None:
+        """Wait until a dispatcher reports that it is healthy."""
+        async with asyncio.timeout(READY_TIMEOUT_S):
             while True:
                 with contextlib.suppress(NoAnswerError):
-                    if (await call(self.console[name], "HEALTH", 1.0))[0]:
+                    if (await call(self.admin[name], "HEALTH", 1.0))[0]:
                         return
                 await asyncio.sleep(0.05)
 
 
-async def ctl(fleet: Fleet, *words: str) -> tuple[int, dict[str, Any]]:
-    """What an operator types: the exit code, and what the agent answered."""
-    command = [sys.executable, "-m", "dunepulley", "ctl", "--agent", fleet.agent, "--json", *words]
+async def ctl(fleet: Fleet, *arguments: str) -> tuple[int, dict[str, Any]]:
+    """Run `ctl` as an operator does; return its exit code and the agent's answer."""
+    command = [sys.executable, "-m", "dunepulley", "ctl", "--agent", fleet.agent, "--json", *arguments]
     environment = os.environ | {"PYTHONPATH": str(Path(__file__).parents[1])}
     process = await asyncio.create_subprocess_exec(*command, stdout=asyncio.subprocess.PIPE, env=environment)
     out, _ = await process.communicate()
     return process.returncode or 0, json.loads(out)["agents"][fleet.agent]
 
 
-async def until_all_go_by(fleet: Fleet, revision: int) -> None:
-    """Wait until the agent listens and knows of every dispatcher that it goes by a revision."""
-    async with asyncio.timeout(PATIENCE_S):
+async def wait_for_revision(fleet: Fleet, revision: int) -> None:
+    """Wait until the agent reports that every dispatcher has applied at least this drain revision."""
+    async with asyncio.timeout(READY_TIMEOUT_S):
         while True:
-            # An agent that has only just been started does not listen yet.
+            # An agent that was just started may not listen yet.
             with contextlib.suppress(wire.WireError):
-                told = await wire.ask(fleet.agent, {"do": "drains"}, 10.0)
-                if all([one.get("drains", -1) >= revision for one in told["dispatchers"]]):
+                answer = await wire.ask(fleet.agent, {"do": "drains"}, 10.0)
+                if all([status.get("drains", -1) >= revision for status in answer["dispatchers"]]):
                     return
             await asyncio.sleep(0.1)
 
 
-async def told_at(fleet: Fleet) -> dict[str, float]:
-    """When each dispatcher was last told a set, by the agent's clock, which is this one's."""
-    told = await wire.ask(fleet.agent, {"do": "drains"}, 10.0)
-    return {one["name"]: one.get("told") or 0.0 for one in told["dispatchers"]}
+async def notification_times(fleet: Fleet) -> dict[str, float]:
+    """When the agent last sent each dispatcher a drain set, in Unix ms (agent and bench share one clock)."""
+    answer = await wire.ask(fleet.agent, {"do": "drains"}, 10.0)
+    return {status["name"]: status.get("told") or 0.0 for status in answer["dispatchers"]}
 
 
 @dataclass
 class Observation:
-    """What was seen of one drain; all times are Unix ms by this process's clock."""
+    """What was observed during one drain; all times are Unix ms by this process's clock."""
 
     hung: str = ""
     restarted: str = ""
-    # When the restarted dispatcher was started again.
+    # When the killed dispatcher was started again.
     restarted_ms: float = 0.0
     drained_ms: float = 0.0
     restored_ms: float = 0.0
     exit_code: int = 0
-    # By dispatcher: its state as `ctl` told it, and when it was told of the drain.
+    # By dispatcher: its state as `ctl` printed it, and when it was notified of the drain.
     states: dict[str, str] = field(default_factory=dict)
     notified_ms: dict[str, float] = field(default_factory=dict)
 
-    def too_late_from(self, name: str) -> float:
-        """From when on no new work of a dispatcher may arrive at drained workers."""
-        # One that was killed knows of the drain from the file before it begins: nothing at all may come.
-        return self.restarted_ms + ARRIVES_MS if name == self.restarted else self.notified_ms[name] + GRACE_MS
-
-    def note(self, name: str) -> str:
-        """What was done to a dispatcher."""
+    def late_after_ms(self, name: str) -> float:
+        """The time from which a dispatcher's new requests must not arrive at drained endpoints."""
+        # A restarted dispatcher reads the drain from its file before it serves, so it has no grace period.
+        return (
+            self.restarted_ms + ARRIVAL_GRACE_MS
+            if name == self.restarted
+            else self.notified_ms[name] + GRACE_MS
+        )
+
+    def fault(self, name: str) -> str:
+        """The fault that was injected into a dispatcher, empty for none."""
         return "hung" if name == self.hung else "killed and started again" if name == self.restarted else ""
 
 
-async def drain_and_restore(fleet: Fleet, chosen: argparse.Namespace) -> Observation:
-    """Drain a zone under load, with the faults that were chosen, and restore it."""
-    seen = Observation(
-        hung=fleet.names[-1] if chosen.hang else "", restarted=fleet.names[-2] if chosen.restart else ""
+async def drain_and_restore(fleet: Fleet, options: argparse.Namespace) -> Observation:
+    """Drain a zone under load with the faults that the options ask for, then restore it."""
+    observed = Observation(
+        hung=fleet.names[-1] if options.hang else "", restarted=fleet.names[-2] if options.restart else ""
+    )
+    if observed.hung:
+        fleet.signal(observed.hung, signal.SIGSTOP)
+    observed.drained_ms = time.time() * 1000.0
+    observed.exit_code, answer = await ctl(
+        fleet, "--limit", "3s", "drain", "--zone", ZONES[0], "--by", "bench"
     )
-    if seen.hung:
-        fleet.signal(seen.hung, signal.SIGSTOP)
-    seen.drained_ms = time.time() * 1000.0
-    seen.exit_code, answer = await ctl(fleet, "--limit", "3s", "drain", "--zone", ZONES[0], "--by", "bench")
-    seen.states = {one["name"]: one["state"] for one in answer.get("dispatchers", [])}
-    if seen.restarted:
-        fleet.signal(seen.restarted, signal.SIGKILL)
-        await fleet.processes[seen.restarted].wait()
-        seen.restarted_ms = time.time() * 1000.0
-        await fleet.start(seen.restarted)
-    if seen.hung:
-        fleet.signal(seen.hung, signal.SIGCONT)
-    await until_all_go_by(fleet, 1)
-    seen.notified_ms = await told_at(fleet)
-    if seen.restarted:
-        await fleet.serves(seen.restarted)
-    # Quiet time after the last was told: what came too late would come now.
-    await asyncio.sleep(max(1.0, chosen.seconds / 3.0))
-    seen.restored_ms = time.time() * 1000.0
+    observed.states = {status["name"]: status["state"] for status in answer.get("dispatchers", [])}
+    if observed.restarted:
+        fleet.signal(observed.restarted, signal.SIGKILL)
+        await fleet.processes[observed.restarted].wait()
+        observed.restarted_ms = time.time() * 1000.0
+        await fleet.start(observed.restarted)
+    if observed.hung:
+        fleet.signal(observed.hung, signal.SIGCONT)
+    await wait_for_revision(fleet, 1)
+    observed.notified_ms = await notification_times(fleet)
+    if observed.restarted:
+        await fleet.wait_until_healthy(observed.restarted)
+    # Keep observing after the last notification, so that late requests are counted.
+    await asyncio.sleep(max(1.0, options.seconds / 3.0))
+    observed.restored_ms = time.time() * 1000.0
     await ctl(fleet, "--limit", "3s", "restore", "--zone", ZONES[0], "--by", "bench")
-    await until_all_go_by(fleet, 2)
-    return seen
+    await wait_for_revision(fleet, 2)
+    return observed
 
 
-def row_of(name: str, seen: Observation, workers: Workers) -> dict[str, Any]:
-    """What one dispatcher sent, and when."""
-    drained = {member["id"] for member in workers.members if member["locality"] == ZONES[0]}
-    sent = [one for one in workers.sent if one.instance == name]
-    to_drained = [one.at for one in sent if one.worker in drained]
-    during = [at for at in to_drained if seen.drained_ms <= at < seen.restored_ms]
-    notified_ms, too_late_ms = seen.notified_ms[name], seen.too_late_from(name)
+def row_of(name: str, observed: Observation, endpoints: StubEndpoints) -> dict[str, Any]:
+    """The result row of one dispatcher: what it sent to drained endpoints, and when."""
+    drained = {member["id"] for member in endpoints.members if member["locality"] == ZONES[0]}
+    sent = [arrival for arrival in endpoints.sent if arrival.dispatcher == name]
+    to_drained = [arrival.at_ms for arrival in sent if arrival.endpoint in drained]
+    while_drained = [at for at in to_drained if observed.drained_ms <= at < observed.restored_ms]
+    notified_ms, late_after_ms = observed.notified_ms[name], observed.late_after_ms(name)
     return {
         "instance": name,
-        "state": seen.states.get(name, "none"),
-        "told after ms": round(notified_ms - seen.drained_ms, 1),
-        "last after told ms": round(max(during) - notified_ms, 1) if during else None,
-        "too late": len([at for at in during if at > too_late_ms]),
+        "state": observed.states.get(name, "none"),
+        "told after ms": round(notified_ms - observed.drained_ms, 1),
+        "last after told ms": round(max(while_drained) - notified_ms, 1) if while_drained else None,
+        "too late": len([at for at in while_drained if at > late_after_ms]),
         "sent": len(sent),
-        "to drained before": len([at for at in to_drained if at < seen.drained_ms]),
-        "to drained after restore": len([at for at in to_drained if at >= seen.restored_ms]),
-        "note": seen.note(name),
+        "to drained before": len([at for at in to_drained if at < observed.drained_ms]),
+        "to drained after restore": len([at for at in to_drained if at >= observed.restored_ms]),
+        "note": observed.fault(name),
     }
 
 
-async def measure(chosen: argparse.Namespace, folder: Path) -> dict[str, Any]:
-    """One run; what was seen."""
+async def measure(options: argparse.Namespace, folder: Path) -> dict[str, Any]:
+    """Run the measurement once; return its results."""
     addresses: dict[str, str] = {}
-    zones = [ZONES[number % 2] for number in range(chosen.workers)]
+    zones = [ZONES[number % 2] for number in range(options.workers)]
     async with (
-        Workers(zones, chosen.runs_ms, addresses) as workers,
-        discovery(workers.members) as listed_at,
+        StubEndpoints(zones, options.runs_ms, addresses) as endpoints,
+        discovery(endpoints.members) as discovery_address,
         aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0)) as session,
     ):
-        fleet = Fleet(folder, chosen.instances, listed_at)
+        fleet = Fleet(folder, options.instances, discovery_address)
         addresses |= fleet.listen
-        fleet.write(workers.members)
-        clients = [Clients(name, fleet.listen[name], chosen.rate, session) for name in fleet.names]
+        fleet.write(endpoints.members)
+        generators = [LoadGenerator(name, fleet.listen[name], options.rate, session) for name in fleet.names]
         try:
             for name in [*fleet.names, "agent"]:
                 await fleet.start(name)
-            await asyncio.gather(*[fleet.serves(name) for name in fleet.names])
-            await until_all_go_by(fleet, 0)
+            await asyncio.gather(*[fleet.wait_until_healthy(name) for name in fleet.names])
+            await wait_for_revision(fleet, 0)
             stop = asyncio.Event()
-            load = [asyncio.create_task(one.run(stop, MOST_S)) for one in clients]
-            await asyncio.sleep(chosen.seconds / 3.0)
-            seen = await drain_and_restore(fleet, chosen)
-            await asyncio.sleep(chosen.seconds / 3.0)
+            load = [asyncio.create_task(generator.run(stop, MAX_LOAD_S)) for generator in generators]
+            await asyncio.sleep(options.seconds / 3.0)
+            observed = await drain_and_restore(fleet, options)
+            await asyncio.sleep(options.seconds / 3.0)
             stop.set()
             await asyncio.gather(*load)
         finally:
             await fleet.close()
     answers: Counter[str] = Counter()
-    for one in clients:
-        answers.update(one.answers)
-    rows = [row_of(name, seen, workers) for name in fleet.names]
-    return {"code": seen.exit_code, "instances": rows, "answers": dict(answers)}
+    for generator in generators:
+        answers.update(generator.answers)
+    rows = [row_of(name, observed, endpoints) for name in fleet.names]
+    return {"code": observed.exit_code, "instances": rows, "answers": dict(answers)}
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Run the measurement and say what was seen; the exit code."""
-    parser = argparse.ArgumentParser(description="Drain half of the workers at many dispatchers.")
+    """Run the measurement and print its results; return the exit code."""
+    parser = argparse.ArgumentParser(description="Drain half of the endpoints at many dispatchers.")
     parser.add_argument("--instances", type=int, default=20)
     parser.add_argument("--workers", type=int, default=40)
-    parser.add_argument("--rate", type=float, default=8.0, help="work items a second for each instance")
-    parser.add_argument("--runs-ms", type=float, default=40.0, help="how long a work item runs")
-    parser.add_argument("--seconds", type=float, default=12.0, help="load before, between and after")
-    parser.add_argument("--hang", action="store_true", help="one dispatcher stands still at the drain")
-    parser.add_argument("--restart", action="store_true", help="one dispatcher is killed and started again")
+    parser.add_argument("--rate", type=float, default=8.0, help="requests per second for each dispatcher")
+    parser.add_argument("--runs-ms", type=float, default=40.0, help="how long a request runs")
+    parser.add_argument("--seconds", type=float, default=12.0, help="load before, during and after the drain")
+    parser.add_argument("--hang", action="store_true", help="stop one dispatcher (SIGSTOP) during the drain")
+    parser.add_argument("--restart", action="store_true", help="kill one dispatcher, start it again")
     parser.add_argument("--json", action="store_true")
-    chosen = parser.parse_args(arguments)
+    options = parser.parse_args(arguments)
     with tempfile.TemporaryDirectory() as folder:
-        found = asyncio.run(measure(chosen, Path(folder)))
-    late = sum([row["too late"] for row in found["instances"]])
-    if chosen.json:
-        print(json.dumps(found, indent=2))
+        results = asyncio.run(measure(options, Path(folder)))
+    late = sum([row["too late"] for row in results["instances"]])
+    if options.json:
+        print(json.dumps(results, indent=2))
     else:
-        for row in found["instances"]:
+        for row in results["instances"]:
             print("  ".join([f"{name} {value}" for name, value in row.items() if value not in ("", None)]))
-        print(f"answers: {found['answers']}; ctl ended with {found['code']}")
+        print(f"answers: {results['answers']}; ctl ended with {results['code']}")
         print(f"new work to drained workers later than {GRACE_MS:g} ms after being told: {late}")
     return 1 if late else 0
 
--- a/bench/scale.py
+++ b/bench/scale.py
@@ -1,13 +1,14 @@
-"""What one dispatcher needs at many times the endpoints, its traffic and their capacity as they were.
+"""Compares what one dispatcher needs at many times the endpoints, with the same traffic and total capacity.
 
     python -m bench.scale [--endpoints 200] [--times 16] [--seconds 30] [--seed 1] [--discovery pushed|asked]
     python -m bench.scale --small
 
-A dispatcher runs as the deploy file starts it, once at the usual number of endpoints and once at `--times`
-as many, under the same seeded scenario: requests, a list of endpoints that changes twice a second, and a
-watch on it that breaks once. The table has a row for each limit. The longest callback of the event loop is
-found in two further runs, whose process is `bench.scale_timed`, as timing costs what the others measure.
-`--small` runs the decision module alone. Exit code 1 beyond a limit, 2 where nothing could be measured.
+Runs a dispatcher as the deploy file starts it, once with the usual number of endpoints and once with
+`--times` as many, under the same seeded scenario: requests, an endpoint list that changes twice a second, and
+one broken watch on the list. The table has a row for each limit. The longest callback of the event loop is
+measured in two further runs with the process `bench.scale_timed`, because timing adds to the CPU time that
+the other runs measure. `--small` runs the decision module alone. Exit code 1 if a limit is exceeded, 2 if a
+run failed.
 """
 
 from __future__ import annotations
@@ -35,27 +36,27 @@
 from bench.scale_discovery import ChangingCatalog, keep_changing
 from bench.scale_endpoints import PREFIX
 from bench.scale_limits import Callback, Figures, Row
-from bench.scale_process import PeakDescriptors, ProcessError, Started
+from bench.scale_process import ChildProcess, PeakDescriptors, ProcessError
 from dunepulley.load.local import member, serve
 from dunepulley.load.processes import ROOT
 
-# Nobody else listens here or connects from here, so that a port found free stays free.
+# No other process listens at or connects from this address, so a port that was found free stays free.
 DISPATCHER_HOST = "127.1.0.1"
-READY_S = 60.0
+READY_TIMEOUT_S = 60.0
 REQUESTS_PER_S = 40.0
 CHANGES_PER_S = 2.0
 BUDGET_MS = 3000.0
-# What requests take at an endpoint: spread about a mean, as a clipped exponential distribution.
-MEAN_WORK_MS, LEAST_WORK_MS, MOST_WORK_MS = 60.0, 5.0, 400.0
-# So many requests may wait at an endpoint for each slot.
+# Run times of requests at an endpoint: an exponential distribution with this mean, clipped to these bounds.
+MEAN_WORK_MS, MIN_WORK_MS, MAX_WORK_MS = 60.0, 5.0, 400.0
+# Length of an endpoint's queue, in requests for each slot.
 QUEUE_PER_SLOT = 8
 ZONES = 3
-SOCKETS = 1024
-ANSWER_LIMIT_S = 5.0
-# The other dispatchers of the fleet, which are not there: budgets for cold endpoints are shared with them.
-DISPATCHERS = 200
+MAX_SOCKETS = 1024
+RESPONSE_TIMEOUT_S = 5.0
+# The configured size of the fleet, by which slow-start budgets are divided; only one dispatcher runs.
+FLEET_SIZE = 200
 SETTINGS = {
-    "balancers": DISPATCHERS,
+    "balancers": FLEET_SIZE,
     "me": 0,
     "zone": "z0",
     "categories": [
@@ -77,7 +78,7 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """What is played; the same at any number of endpoints but for these and their slots."""
+    """The scenario of a run; the compared runs differ only in `endpoints` and in `slots` of each endpoint."""
 
     endpoints: int
     slots: int
@@ -88,102 +89,106 @@
 
 @dataclass(frozen=True)
 class Request:
-    """One request: when it is due, in seconds from the start, and what it takes."""
+    """A request: when it is sent, in seconds from the start, and how long it runs."""
 
     at_s: float
     work_ms: float
 
 
 def requests_of(scenario: Scenario) -> list[Request]:
-    """The requests of a scenario, which follow from its seed and length alone."""
-    chance, at_s, requests = Random(scenario.seed), 0.0, []
+    """The requests of a scenario; they depend on its seed and length only."""
+    rng, at_s, requests = Random(scenario.seed), 0.0, []
     while True:
-        at_s += -math.log(1.0 - chance.random()) / REQUESTS_PER_S
+        at_s += -math.log(1.0 - rng.random()) / REQUESTS_PER_S
         if at_s >= scenario.seconds:
             return requests
-        work_ms = -math.log(1.0 - chance.random()) * MEAN_WORK_MS
-        requests.append(Request(at_s, min(MOST_WORK_MS, max(LEAST_WORK_MS, work_ms))))
+        work_ms = -math.log(1.0 - rng.random()) * MEAN_WORK_MS
+        requests.append(Request(at_s, min(MAX_WORK_MS, max(MIN_WORK_MS, work_ms))))
 
 
-def serve_words() -> list[str]:
-    """What the deploy file runs, without the interpreter's path."""
+def serve_arguments() -> list[str]:
+    """The arguments of the Python interpreter in the command of the deploy file."""
     line = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text())["run"]
-    words = line.removeprefix("exec ").split()
-    return words[1:]
+    arguments = line.removeprefix("exec ").split()
+    return arguments[1:]
 
 
 def free_address() -> str:
-    """An address for the dispatcher at which nobody listens now."""
-    with socket.create_server((DISPATCHER_HOST, 0)) as held:
-        return f"{DISPATCHER_HOST}:{held.getsockname()[1]}"
+    """An address for the dispatcher with a port at which nothing listens now."""
+    with socket.create_server((DISPATCHER_HOST, 0)) as listener:
+        return f"{DISPATCHER_HOST}:{listener.getsockname()[1]}"
 
 
 class Run:
-    """One dispatcher with all that it speaks with; ends every process that it started."""
+    """One dispatcher with its endpoints, discovery and clients; ends every process that it started."""
 
     def __init__(self, scenario: Scenario, folder: Path, timed: bool) -> None:
         self.scenario, self.folder, self.timed = scenario, folder, timed
         self.listen = free_address()
         self.callbacks = folder / "callbacks.json"
-        self.started: list[Started] = []
+        self.processes: list[ChildProcess] = []
         self.served = 0
 
-    async def play(self) -> tuple[Figures, list[Callback]]:
-        """Start everything, send all requests, end everything; what it took."""
+    async def run(self) -> tuple[Figures, list[Callback]]:
+        """Start all processes, send all requests, end all processes; return the measurements."""
         try:
-            return await self._play()
+            return await self._run()
         finally:
-            for process in reversed(self.started):
+            for process in reversed(self.processes):
                 process.kill()
 
-    async def _play(self) -> tuple[Figures, list[Callback]]:
+    async def _run(self) -> tuple[Figures, list[Callback]]:
         endpoints, report = await self._start_endpoints()
         catalog = ChangingCatalog(self._members(json.loads(report.read_text())["addresses"]))
         runner, discovery = await serve(web.Server(catalog.watch, access_log=None))
         try:
-            dispatcher = self._start_dispatcher(catalog.known(), discovery)
+            dispatcher = self._start_dispatcher(catalog.full_list(), discovery)
             peak = PeakDescriptors(dispatcher)
             watching = asyncio.create_task(peak.watch())
-            await dispatcher.until("listener", READY_S, lambda: "listens at" in dispatcher.said())
+            await dispatcher.wait_until(
+                "listener", READY_TIMEOUT_S, lambda: "listens at" in dispatcher.log_tail()
+            )
             start_cpu_s, ready_at_s = dispatcher.cpu_s(), asyncio.get_running_loop().time()
             changing = asyncio.create_task(
                 keep_changing(catalog, Random(self.scenario.seed + 1), CHANGES_PER_S)
             )
-            # Once the watch breaks: what is asked for then is what changed, not the whole list.
-            half = asyncio.get_running_loop().call_later(0.5 * self.scenario.seconds, catalog.break_watches)
-            share = await self._send_all()
-            half.cancel()
+            # Break the watch once; the dispatcher then asks for the changes only, not for the whole list.
+            break_timer = asyncio.get_running_loop().call_later(
+                0.5 * self.scenario.seconds, catalog.break_watches
+            )
+            served_fraction = await self._send_all()
+            break_timer.cancel()
             changing.cancel()
             cpu_s, memory_mb = dispatcher.cpu_s(), dispatcher.peak_memory_mb()
             served_until_s = asyncio.get_running_loop().time()
-            await dispatcher.end()
+            await dispatcher.terminate()
             watching.cancel()
             await asyncio.gather(changing, watching, return_exceptions=True)
         finally:
             await runner.cleanup()
-        await endpoints.end()
+        await endpoints.terminate()
         figures = Figures(
             self.scenario.endpoints,
             cpu_s,
             start_cpu_s,
             memory_mb,
-            peak.most,
+            peak.maximum,
             json.loads(report.read_text())["connections"],
-            catalog.bytes_told,
-            share,
+            catalog.bytes_sent,
+            served_fraction,
         )
         return figures, self._callbacks_between(ready_at_s, served_until_s)
 
     def _callbacks_between(self, begin_s: float, end_s: float) -> list[Callback]:
-        """The long callbacks while it served; a start keeps nobody waiting."""
+        """The long callbacks while the dispatcher served; those of its start delay no request."""
         if not self.timed:
             return []
-        noted = [Callback(**told) for told in json.loads(self.callbacks.read_text())]
-        return [callback for callback in noted if begin_s <= callback.at_s <= end_s]
+        callbacks = [Callback(**fields) for fields in json.loads(self.callbacks.read_text())]
+        return [callback for callback in callbacks if begin_s <= callback.at_s <= end_s]
 
-    async def _start_endpoints(self) -> tuple[Started, Path]:
+    async def _start_endpoints(self) -> tuple[ChildProcess, Path]:
         report = self.folder / "report.json"
-        told = {
+        config = {
             "endpoints": self.scenario.endpoints,
             "slots": self.scenario.slots,
             "queue": QUEUE_PER_SLOT * self.scenario.slots,
@@ -191,10 +196,10 @@
             "report": str(report),
         }
         path = self.folder / "endpoints.json"
-        path.write_text(json.dumps(told))
-        process = Started(self.folder, "endpoints", ["-m", "bench.scale_endpoints", str(path)])
-        self.started.append(process)
-        await process.until("list of addresses", READY_S, report.exists)
+        path.write_text(json.dumps(config))
+        process = ChildProcess(self.folder, "endpoints", ["-m", "bench.scale_endpoints", str(path)])
+        self.processes.append(process)
+        await process.wait_until("list of addresses", READY_TIMEOUT_S, report.exists)
         return process, report
 
     def _members(self, addresses: list[str]) -> list[dict[str, Any]]:
@@ -203,37 +208,37 @@
             for number, address in enumerate(addresses)
         ]
 
-    def _start_dispatcher(self, known: dict[str, Any], discovery: str) -> Started:
+    def _start_dispatcher(self, endpoint_list: dict[str, Any], discovery: str) -> ChildProcess:
         path, scratch = self.folder / "config.json", self.folder / "scratch"
         scratch.mkdir()
-        told = {
+        config = {
             "name": "n0",
             "listen": self.listen,
             "discovery": discovery,
             "seed": f"{self.scenario.seed:x}",
-            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
-            "known": known,
+            "limits": {"cores": 1.0, "memory_mb": 192, "sockets": MAX_SOCKETS},
+            "known": endpoint_list,
             "settings": SETTINGS | {"discovery": self.scenario.discovery},
         }
-        path.write_text(json.dumps(told))
-        words = serve_words()
+        path.write_text(json.dumps(config))
+        arguments = serve_arguments()
         if self.timed:
-            words = ["-m", "bench.scale_timed", str(self.callbacks), *words[2:]]
+            arguments = ["-m", "bench.scale_timed", str(self.callbacks), *arguments[2:]]
         environment = {"ROUTER_CONFIG": str(path), "TMPDIR": str(scratch)}
-        process = Started(self.folder, "dispatcher", words, environment)
-        self.started.append(process)
+        process = ChildProcess(self.folder, "dispatcher", arguments, environment)
+        self.processes.append(process)
         return process
 
     # ---------------------------------------------------------------- requests
 
     async def _send_all(self) -> float:
-        """Send each request at its time, whatever becomes of those before; the share served."""
+        """Send each request at its time without waiting for earlier ones; return the fraction served."""
         loop, requests = asyncio.get_running_loop(), requests_of(self.scenario)
         connector = aiohttp.TCPConnector(limit=0)
         async with aiohttp.ClientSession(connector=connector) as session, asyncio.TaskGroup() as group:
-            begun = loop.time()
+            started_s = loop.time()
             for number, request in enumerate(requests):
-                await asyncio.sleep(max(0.0, begun + request.at_s - loop.time()))
+                await asyncio.sleep(max(0.0, started_s + request.at_s - loop.time()))
                 group.create_task(self._send(session, number, request))
         return self.served / max(1, len(requests))
 
@@ -245,82 +250,95 @@
         }
         url, body = f"http://{self.listen}/look/x", f"{request.work_ms:.3f}".encode()
         with contextlib.suppress(aiohttp.ClientError, OSError, TimeoutError):
-            async with asyncio.timeout(ANSWER_LIMIT_S):
-                async with session.post(url, data=body, headers=headers) as answer:
-                    await answer.read()
-                    self.served += answer.status == 200
-
-
-async def play(scenario: Scenario, folder: Path, timed: bool, output: Any) -> tuple[Figures, list[Callback]]:
-    """One run in a folder of its own, told in a few lines to `output`."""
-    place = folder / f"{scenario.endpoints}{'-timed' if timed else ''}"
-    place.mkdir()
-    figures, callbacks = await Run(scenario, place, timed).play()
+            async with asyncio.timeout(RESPONSE_TIMEOUT_S):
+                async with session.post(url, data=body, headers=headers) as response:
+                    await response.read()
+                    self.served += response.status == 200
+
+
+async def run_scenario(
+    scenario: Scenario, folder: Path, timed: bool, output: Any
+) -> tuple[Figures, list[Callback]]:
+    """Run a scenario in a folder of its own and write a summary to `output`."""
+    run_folder = folder / f"{scenario.endpoints}{'-timed' if timed else ''}"
+    run_folder.mkdir()
+    figures, callbacks = await Run(scenario, run_folder, timed).run()
     lines = [f"{scenario.endpoints} endpoints{', timed' if timed else ''}: {figures}"]
-    for one in sorted(callbacks, key=lambda callback: -callback.cpu_ms)[:3]:
-        lines.append(f"  {one.cpu_ms:.1f} ms of CPU, {one.wall_ms:.1f} in all: {one.name}")
+    for longest in sorted(callbacks, key=lambda callback: -callback.cpu_ms)[:3]:
+        lines.append(f"  {longest.cpu_ms:.1f} ms of CPU, {longest.wall_ms:.1f} in all: {longest.name}")
     print("\n".join(lines), file=output, flush=True)
     return figures, callbacks
 
 
 async def measure(base: Scenario, large: Scenario, folder: Path, together: bool, output: Any) -> list[Row]:
-    """All runs, one after the other or together, and the table."""
+    """Run both scenarios with and without timed callbacks, in sequence or together; return the table."""
     runs = [(base, False), (large, False), (base, True), (large, True)]
     if together:
-        results = await asyncio.gather(*[play(scenario, folder, timed, output) for scenario, timed in runs])
+        results = await asyncio.gather(
+            *[run_scenario(scenario, folder, timed, output) for scenario, timed in runs]
+        )
     else:
-        results = [await play(scenario, folder, timed, output) for scenario, timed in runs]
+        results = [await run_scenario(scenario, folder, timed, output) for scenario, timed in runs]
     figures = [figures for figures, _ in results]
     callbacks = [callbacks for _, callbacks in results]
     return [*scale_limits.rows(*figures[:2]), scale_limits.callback_row(*callbacks[2:])]
 
 
-async def interruptible(*arguments: Any) -> list[Row]:
-    """`measure`, given up on SIGINT and SIGTERM once what was started has ended."""
+async def measure_interruptibly(*arguments: Any) -> list[Row]:
+    """Run `measure`; SIGINT and SIGTERM cancel it, which ends the processes that it started."""
     task = asyncio.create_task(measure(*arguments))
     for number in (signal.SIGINT, signal.SIGTERM):
         asyncio.get_running_loop().add_signal_handler(number, task.cancel)
     return await task
 
 
-def parsed(arguments: list[str] | None) -> argparse.Namespace:
-    """The words of the command line; exits with 2 on others."""
+def parse_arguments(arguments: list[str] | None) -> argparse.Namespace:
+    """Parse the command line; exits with 2 if it is invalid."""
     parser = argparse.ArgumentParser(prog="python -m bench.scale", description=__doc__.splitlines()[0])
-    parser.add_argument("--endpoints", type=int, default=200, help="the usual number")
-    parser.add_argument("--times", type=int, default=16, help="how many times as many are compared with it")
-    parser.add_argument("--seconds", type=float, default=30.0, help="of traffic in each of the four runs")
+    parser.add_argument("--endpoints", type=int, default=200, help="the usual number of endpoints")
+    parser.add_argument(
+        "--times", type=int, default=16, help="factor for the number of endpoints in the large run"
+    )
+    parser.add_argument(
+        "--seconds", type=float, default=30.0, help="seconds of traffic in each of the four runs"
+    )
     parser.add_argument("--seed", type=int, default=1)
     parser.add_argument("--discovery", choices=("pushed", "asked"), default="pushed")
-    parser.add_argument("--small", action="store_true", help="the decision module alone")
-    parser.add_argument("--together", action="store_true", help="all runs side by side: quick, and less sure")
-    parser.add_argument("--keep", type=Path, help="a new folder for logs, which stay")
-    chosen = parser.parse_args(arguments)
-    if chosen.endpoints < 1 or chosen.times < 2 or not chosen.seconds > 0.0:
-        parser.error("--endpoints and --seconds are over 0, --times over 1")
-    return chosen
+    parser.add_argument("--small", action="store_true", help="measure the decision module alone")
+    parser.add_argument(
+        "--together", action="store_true", help="run all four at once: faster and less accurate"
+    )
+    parser.add_argument("--keep", type=Path, help="a new folder for logs, which is not deleted")
+    options = parser.parse_args(arguments)
+    if options.endpoints < 1 or options.times < 2 or not options.seconds > 0.0:
+        parser.error(
+            "expected --endpoints and --seconds above 0 and --times above 1, "
+            f"got {options.endpoints}, {options.seconds:g}, {options.times}"
+        )
+    return options
 
 
 def main(arguments: list[str] | None = None) -> int:
-    """Measure and print the table; the exit code."""
-    chosen = parsed(arguments)
-    if chosen.small:
+    """Run the measurement and print the table; return the exit code."""
+    options = parse_arguments(arguments)
+    if options.small:
         from bench.scale_decisions import run_small
 
         return run_small(sys.stdout)
-    base = Scenario(chosen.endpoints, chosen.times, chosen.seconds, chosen.seed, chosen.discovery)
-    large = Scenario(chosen.endpoints * chosen.times, 1, chosen.seconds, chosen.seed, chosen.discovery)
-    folder = chosen.keep or Path(tempfile.mkdtemp(prefix="scale-"))
+    base = Scenario(options.endpoints, options.times, options.seconds, options.seed, options.discovery)
+    large = Scenario(options.endpoints * options.times, 1, options.seconds, options.seed, options.discovery)
+    folder = options.keep or Path(tempfile.mkdtemp(prefix="scale-"))
     try:
-        folder.mkdir(exist_ok=chosen.keep is None)
-        rows = asyncio.run(interruptible(base, large, folder, chosen.together, sys.stdout))
+        folder.mkdir(exist_ok=options.keep is None)
+        rows = asyncio.run(measure_interruptibly(base, large, folder, options.together, sys.stdout))
     except asyncio.CancelledError:
         print("scale: given up", file=sys.stderr)
         return 2
-    except (ProcessError, OSError) as problem:
-        print(f"scale: {problem}", file=sys.stderr)
+    except (ProcessError, OSError) as error:
+        print(f"scale: {error}", file=sys.stderr)
         return 2
     finally:
-        if chosen.keep is None:
+        if options.keep is None:
             shutil.rmtree(folder, ignore_errors=True)
     print("\n".join([scale_limits.HEADER, *[row.text() for row in rows]]))
     return 0 if all([row.passed for row in rows]) else 1
--- a/bench/scale_decisions.py
+++ b/bench/scale_decisions.py
@@ -1,10 +1,11 @@
-"""What the decision module costs at 16 times the endpoints: CPU time, memory, and the longest single call.
+"""Measures the decision module at 16 times the endpoints: CPU time, memory and the longest call.
 
     python -m bench.scale_decisions [--brain PATH] [--times N]
 
-Plays the same seeded days at 200 and at 3,200 endpoints, with the dispatchers 16 times as many too, so that
-the traffic of the one dispatcher and its part of the capacity stay the same. Counted is the process's CPU
-time within `Router.handle`, the least of several plays of the same events. Exit code 1 beyond a limit.
+Simulates the same seeded scenarios with 200 and with 3,200 endpoints. The number of dispatchers grows by the
+same factor, so that the traffic of the one dispatcher and its fraction of the capacity stay the same. The
+measured CPU time is that of the process within `Router.handle`, the minimum over several runs of the same
+events. Exit code 1 if a limit is exceeded.
 """
 
 from __future__ import annotations
@@ -25,7 +26,7 @@
 
 USUAL, LARGE = 200, 3200
 DISPATCHERS = 30
-# The page's terms, of the usual figure, once, and for each thousand endpoints.
+# Terms of the limits: a factor of the usual value, a constant, and an amount for each thousand endpoints.
 CPU_TIMES, CPU_S, CPU_THOUSAND_S = 1.4, 0.02, 0.12
 MEMORY_TIMES, MEMORY_MB, MEMORY_THOUSAND_MB = 1.5, 8.0, 4.0
 LONGEST_MS = 20.0
@@ -36,27 +37,27 @@
 Factory = Callable[[int, dict[str, Any], float], Any]
 
 
-def day(name: str, **more: Any) -> Scenario:
-    """Half a minute of the issue's traffic."""
-    shape = {"length_s": DAY_S, "rate": 40.0, "list_changes": 2.0, "classes": ("look",), "faults": 0.0}
-    return Scenario(name, USUAL, **shape | {"stalls": 0.0, "disconnected": 0.0} | more)
+def scenario_of(name: str, **more: Any) -> Scenario:
+    """A scenario of half a minute with the standard traffic: 40 requests and 2 list changes a second."""
+    defaults = {"length_s": DAY_S, "rate": 40.0, "list_changes": 2.0, "classes": ("look",), "faults": 0.0}
+    return Scenario(name, USUAL, **defaults | {"stalls": 0.0, "disconnected": 0.0} | more)
 
 
 DAYS = (
-    day("steady"),
-    day("priced connections", settings={"prices.handshake": 0.02}),
-    day("gossip", settings=GOSSIP, gossip=True),
-    day(
+    scenario_of("steady"),
+    scenario_of("priced connections", settings={"prices.handshake": 0.02}),
+    scenario_of("gossip", settings=GOSSIP, gossip=True),
+    scenario_of(
         "three classes, faults",
         classes=("look", "store", "pay"),
         sizes=(0.3, 1.0, 3.0),
         hints=True,
         faults=0.05,
     ),
-    day("overload", background=1.2, faults=0.05),
-    day("overload, gossip", settings=GOSSIP, gossip=True, background=1.2, faults=0.05),
-    day("probes", settings=PROBES, reports=False, background=0.5),
-    day("keys", keys=100),
+    scenario_of("overload", background=1.2, faults=0.05),
+    scenario_of("overload, gossip", settings=GOSSIP, gossip=True, background=1.2, faults=0.05),
+    scenario_of("probes", settings=PROBES, reports=False, background=0.5),
+    scenario_of("keys", keys=100),
 )
 
 
@@ -74,74 +75,74 @@
         return self.large <= self.limit
 
     def line(self) -> str:
-        """The row in text."""
+        """The row as it is printed."""
         verdict = "pass" if self.passed else "FAIL"
         return f"{self.name:<38} {self.usual:>10.3f} {self.large:>10.3f} {self.limit:>10.3f}  {verdict}"
 
 
 class Cost(NamedTuple):
-    """What one day cost within `handle`: CPU seconds, and the longest call in ms."""
+    """The cost of a scenario within `handle`: CPU seconds, and the longest call in ms."""
 
     cpu_s: float
     longest_ms: float
 
 
 def at_size(scenario: Scenario, endpoints: int) -> Scenario:
-    """The day with so many endpoints, and as many more dispatchers."""
+    """The scenario with this many endpoints, and with the dispatchers in proportion."""
     dispatchers = DISPATCHERS * endpoints / USUAL
     settings = scenario.settings | {"balancers": dispatchers, "me": 7.0}
     return replace(scenario, endpoints=endpoints, settings=settings)
 
 
-class Timed:
-    """A dispatcher that notes the CPU seconds of each call, and what it was called with."""
+class TimedRouter:
+    """Wraps a dispatcher and records the CPU seconds and the arguments of each call."""
 
     def __init__(self, dispatcher: Any) -> None:
         self.dispatcher = dispatcher
-        self.spent: list[float] = []
+        self.call_cpu_s: list[float] = []
         self.batches: list[tuple[float, list[Any]]] = []
 
     def handle(self, now: float, events: list[Any]) -> list[Any]:
-        """As `Router.handle`."""
-        begun = time.process_time()
+        """Call `Router.handle` and record the call."""
+        started_s = time.process_time()
         commands = self.dispatcher.handle(now, events)
-        self.spent.append(time.process_time() - begun)
+        self.call_cpu_s.append(time.process_time() - started_s)
         self.batches.append((now, events))
         return commands
 
 
-def first_play(scenario: Scenario, factory: Factory) -> Timed:
-    """Play the day with the simulated fleet around the dispatcher."""
-    fleet = Fleet(scenario, lambda *told: Timed(factory(*told)))
+def simulate(scenario: Scenario, factory: Factory) -> TimedRouter:
+    """Run a scenario with the simulated fleet around the dispatcher."""
+    fleet = Fleet(scenario, lambda *arguments: TimedRouter(factory(*arguments)))
     for _ in fleet.batches():
         pass
     return fleet.dispatcher
 
 
 def replay(scenario: Scenario, batches: list[tuple[float, list[Any]]], factory: Factory) -> list[float]:
-    """CPU seconds of each call, of the same events once more."""
-    timed = Timed(factory(scenario.seed, scenario.all_settings(), START_MS))
+    """Handle recorded events once more; return the CPU seconds of each call."""
+    timed_router = TimedRouter(factory(scenario.seed, scenario.all_settings(), START_MS))
     for now, events in batches:
-        timed.handle(now, events)
-    return timed.spent
+        timed_router.handle(now, events)
+    return timed_router.call_cpu_s
 
 
 def cost(scenario: Scenario, factory: Factory, times: int) -> Cost:
-    """The least CPU time of so many plays; of each call the least too, so that a pause is not counted."""
+    """The minimum CPU time over `times` runs, also for each call, so that pauses do not count."""
     gc.collect()
-    first = first_play(scenario, factory)
-    plays = [first.spent]
+    first = simulate(scenario, factory)
+    runs = [first.call_cpu_s]
     for _ in range(times - 1):
         gc.collect()
-        plays.append(replay(scenario, first.batches, factory))
-    # The first list is a start, not a moment of the day.
-    longest = max([min(calls) for calls in zip(*plays, strict=True)][1:])
-    return Cost(min([sum(spent) for spent in plays]), 1000.0 * longest)
+        runs.append(replay(scenario, first.batches, factory))
+    # Leave out the first call, which handles the initial endpoint list.
+    longest = max([min(calls) for calls in zip(*runs, strict=True)][1:])
+    return Cost(min([sum(call_cpu_s) for call_cpu_s in runs]), 1000.0 * longest)
 
 
 def memory_mb(scenario: Scenario, factory: Factory) -> float:
-    """The peak of what the module allocates over a day, in MB."""
-    batches = first_play(scenario, factory).batches
+    """The peak memory that the module allocates over a scenario, in MB."""
+    batches = simulate(scenario, factory).batches
     gc.collect()
     tracemalloc.start()
     try:
@@ -152,41 +153,41 @@
 
 
 def rows(factory: Factory, times: int) -> list[Row]:
-    """The whole table."""
+    """All rows of the table."""
     thousands = LARGE / 1000.0
-    told = []
+    table = []
     for scenario in DAYS:
         usual, large = [cost(at_size(scenario, size), factory, times) for size in (USUAL, LARGE)]
         limit = CPU_TIMES * usual.cpu_s + CPU_S + CPU_THOUSAND_S * thousands
-        told.append(Row(f"CPU s, {scenario.name}", usual.cpu_s, large.cpu_s, limit))
-        told.append(Row(f"longest call ms, {scenario.name}", usual.longest_ms, large.longest_ms, LONGEST_MS))
+        table.append(Row(f"CPU s, {scenario.name}", usual.cpu_s, large.cpu_s, limit))
+        table.append(Row(f"longest call ms, {scenario.name}", usual.longest_ms, large.longest_ms, LONGEST_MS))
     short = replace(DAYS[0], length_s=5.0)
     usual_mb, large_mb = [memory_mb(at_size(short, size), factory) for size in (USUAL, LARGE)]
     limit = MEMORY_TIMES * usual_mb + MEMORY_MB + MEMORY_THOUSAND_MB * thousands
-    return [*told, Row("peak MB of the module", usual_mb, large_mb, limit)]
+    return [*table, Row("peak MB of the module", usual_mb, large_mb, limit)]
 
 
 def run_small(output: TextIO, factory: Factory = router.Router, times: int = 2) -> int:
-    """Write the table; 1 where a row is beyond its limit."""
+    """Write the table; return 1 if a row exceeds its limit."""
     output.write(f"{'the decision module alone':<38} {USUAL:>10} {LARGE:>10} {'limit':>10}\n")
-    failed = 0
+    failed_rows = 0
     for row in rows(factory, times):
         output.write(row.line() + "\n")
-        failed += not row.passed
+        failed_rows += not row.passed
     output.flush()
-    return 1 if failed else 0
+    return 1 if failed_rows else 0
 
 
 def main() -> int:
-    """The command line."""
+    """Parse the command line and run the measurement; return the exit code."""
     parser = argparse.ArgumentParser(description="Cost of the decision module at many endpoints.")
     parser.add_argument("--brain", help="another version's routing package: its folder, or its router.py")
-    parser.add_argument("--times", type=int, default=2, help="plays of each day; the least counts")
+    parser.add_argument("--times", type=int, default=2, help="runs of each scenario; the minimum counts")
     options = parser.parse_args()
     try:
         factory = load_router(options.brain) if options.brain else router.Router
-    except UnusableVersionError as problem:
-        parser.error(str(problem))
+    except UnusableVersionError as error:
+        parser.error(str(error))
     return run_small(sys.stdout, factory, options.times)
 
 
--- a/bench/scale_discovery.py
+++ b/bench/scale_discovery.py
@@ -1,4 +1,4 @@
-"""A discovery stub that tells changes: the whole list once at most, then only the entries that changed."""
+"""A discovery stub that sends each watch the whole list at most once, then only the changed entries."""
 
 from __future__ import annotations
 
@@ -15,76 +15,76 @@
 
 
 class ChangingCatalog:
-    """A list of endpoints with its history; counts the bytes of what it tells."""
+    """An endpoint list with its change history; counts the bytes that it sends to watches."""
 
     def __init__(self, members: list[dict[str, Any]]) -> None:
         self.members = {member["id"]: member for member in members}
         self.revision = 1
-        # The revision at which each entry last changed; those that never did are not in it.
+        # The revision at which each entry last changed; entries that never changed are missing.
         self.changed_at: dict[str, int] = {}
-        self.news = asyncio.Event()
+        self.changed = asyncio.Event()
         self.watches: set[asyncio.Transport] = set()
-        self.bytes_told = 0
+        self.bytes_sent = 0
         self.calls = 0
 
-    def known(self) -> dict[str, Any]:
-        """The whole list, as it is written into a dispatcher's configuration or told to a new watch."""
+    def full_list(self) -> dict[str, Any]:
+        """The whole list, in the form of a dispatcher's configuration and of the first line of a watch."""
         return {"revision": self.revision, "complete": True, "members": list(self.members.values())}
 
-    def change(self, endpoint: str, **figures: Any) -> None:
-        """Change one entry and tell every watch."""
+    def change(self, endpoint: str, **fields: Any) -> None:
+        """Change fields of one entry and notify every watch."""
         self.revision += 1
-        self.members[endpoint] = self.members[endpoint] | figures
+        self.members[endpoint] = self.members[endpoint] | fields
         self.changed_at[endpoint] = self.revision
-        self.news.set()
-        self.news = asyncio.Event()
+        self.changed.set()
+        self.changed = asyncio.Event()
 
     def after(self, revision: int) -> dict[str, Any]:
-        """What changed after a revision; the whole list where that revision is unknown."""
+        """The entries that changed after a revision; the whole list if the revision is unknown."""
         if not 0 < revision <= self.revision:
-            return self.known()
+            return self.full_list()
         changed = [name for name, at in self.changed_at.items() if at > revision]
         members = [self.members[name] for name in changed]
         return {"revision": self.revision, "complete": False, "members": members}
 
     def break_watches(self) -> None:
-        """Reset the connection of every watch, as an agent that is restarted does."""
+        """Reset the connection of every watch, as the restart of an agent does."""
         for transport in self.watches:
             transport.abort()
         self.watches.clear()
 
     async def watch(self, request: web.BaseRequest) -> web.StreamResponse:
-        """Serve one watch until its connection ends."""
+        """Serve one watch until its connection closes."""
         self.calls += 1
-        answer = web.StreamResponse()
-        await answer.prepare(request)
-        told = int(request.query.get("index", "0"))
+        response = web.StreamResponse()
+        await response.prepare(request)
+        sent_revision = int(request.query.get("index", "0"))
         self.watches.add(request.transport)
         with contextlib.suppress(ConnectionError):
             while request.transport is not None:
-                news, line = self.news, b""
-                if told != self.revision:
-                    line = json.dumps(self.after(told)).encode()
-                    told = self.revision
-                await answer.write(line + b"\n")
-                self.bytes_told += len(line) + 1
+                changed, line = self.changed, b""
+                if sent_revision != self.revision:
+                    line = json.dumps(self.after(sent_revision)).encode()
+                    sent_revision = self.revision
+                await response.write(line + b"\n")
+                self.bytes_sent += len(line) + 1
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(HEARTBEAT_S):
-                        await news.wait()
-        return answer
+                        await changed.wait()
+        return response
 
 
-async def keep_changing(catalog: ChangingCatalog, chance: Random, rate: float) -> None:
-    """Have endpoints drain and come back, the latter as restarted, `rate` changes a second."""
-    begun = asyncio.get_running_loop().time()
+async def keep_changing(catalog: ChangingCatalog, rng: Random, rate: float) -> None:
+    """Alternately drain an endpoint and list a drained one as restarted, `rate` changes per second."""
+    started_s = asyncio.get_running_loop().time()
     draining: list[str] = []
     number = 0
     while True:
         number += 1
-        await asyncio.sleep(max(0.0, begun + number / rate - asyncio.get_running_loop().time()))
+        await asyncio.sleep(max(0.0, started_s + number / rate - asyncio.get_running_loop().time()))
         if number % 2 or not draining:
             ready = [name for name, member in catalog.members.items() if member["phase"] == "Ready"]
-            draining.append(chance.choice(ready))
+            draining.append(rng.choice(ready))
             catalog.change(draining[-1], phase="Terminating")
         else:
             catalog.change(draining.pop(0), phase="Ready", up_since_ms=int(time.time() * 1000.0))
--- a/bench/scale_endpoints.py
+++ b/bench/scale_endpoints.py
@@ -1,10 +1,10 @@
-"""Stub endpoints of one measurement, as a process of its own: thousands of listening sockets on loopback.
+"""Runs all stub endpoints of a measurement in one process: thousands of listening sockets on loopback.
 
     python -m bench.scale_endpoints FILE
 
-FILE is a JSON object: `endpoints` (how many), `slots` and `queue` (of each), `dispatcher` (the address that
-callbacks go to) and `report`, a file that gets the addresses once all listen, and `connections` in place of
-them at the end (SIGTERM).
+FILE is a JSON object: `endpoints` (their number), `slots` and `queue` (of each), `dispatcher` (the address
+for callbacks) and `report`, the path of a JSON file. The report holds `addresses` once all endpoints listen;
+at the end (SIGTERM) it is replaced by one that holds `connections`, the number of connections accepted.
 """
 
 from __future__ import annotations
@@ -23,48 +23,50 @@
 from dunepulley.load.stub_servers import load_report_fields
 from dunepulley.model.server import Job, ModelServer
 
-# The name of endpoint number n is this and n.
+# Prefix of the endpoints' names, which is followed by their number.
 PREFIX = "w"
-RETRY_CALLBACK_S = 0.1
-# Endpoints share each address of the loopback network among so many ports.
-PORTS_OF_ADDRESS = 400
-STATES = {"began": "started", "finished": "done"}
-BACKLOG = 16
+CALLBACK_RETRY_S = 0.1
+# The number of endpoints that share one loopback address, each with a port of its own.
+ENDPOINTS_PER_ADDRESS = 400
+CALLBACK_STATES = {"began": "started", "finished": "done"}
+LISTEN_BACKLOG = 16
 
 
 def loopback_address(number: int) -> str:
     """The address that endpoint `number` listens at."""
-    return f"127.0.0.{2 + number // PORTS_OF_ADDRESS}"
+    return f"127.0.0.{2 + number // ENDPOINTS_PER_ADDRESS}"
 
 
 class Endpoints:
-    """All endpoints, their jobs, and the count of connections made to them."""
+    """All endpoints, their jobs, and the number of connections made to them."""
 
-    def __init__(self, told: dict[str, Any]) -> None:
-        self.told = told
+    def __init__(self, config: dict[str, Any]) -> None:
+        self.config = config
         self.time = RealTime()
         self.connections = 0
-        self.workers: list[ModelServer] = []
+        self.model_servers: list[ModelServer] = []
         self.servers: list[asyncio.Server] = []
         self.jobs: dict[tuple[str, str], Job] = {}
         self.callbacks: set[asyncio.Task] = set()
         self.session = aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0))
 
     async def open(self) -> list[str]:
-        """Have all listen; their addresses in order."""
+        """Have all endpoints listen; return their addresses in order."""
         loop, addresses = asyncio.get_running_loop(), []
-        slots, queue = self.told["slots"], self.told["queue"]
-        for number in range(self.told["endpoints"]):
-            worker = ModelServer(self.time, f"{PREFIX}{number}", "", "box", "0", slots, queue, 1.0)
+        slots, queue = self.config["slots"], self.config["queue"]
+        for number in range(self.config["endpoints"]):
+            model_server = ModelServer(self.time, f"{PREFIX}{number}", "", "box", "0", slots, queue, 1.0)
             host = loopback_address(number)
-            server = await loop.create_server(partial(Connection, self, worker), host, 0, backlog=BACKLOG)
-            self.workers.append(worker)
+            server = await loop.create_server(
+                partial(Connection, self, model_server), host, 0, backlog=LISTEN_BACKLOG
+            )
+            self.model_servers.append(model_server)
             self.servers.append(server)
             addresses.append(f"{host}:{server.sockets[0].getsockname()[1]}")
         return addresses
 
     async def close(self) -> None:
-        """Give back every socket and task."""
+        """Close all sockets and cancel all tasks."""
         for task in self.callbacks:
             task.cancel()
         await asyncio.gather(*self.callbacks, return_exceptions=True)
@@ -72,43 +74,47 @@
             server.close()
         await self.session.close()
 
-    def take(self, worker: ModelServer, request_id: str, work_ms: float) -> bytes:
-        """Take a job in or turn it away; the answer."""
-        job = Job(request_id, work_ms, 1.0, partial(self._tell, worker, request_id))
-        self.jobs[worker.name, request_id] = job
-        if worker.offer(job):
-            return answer(202)
-        del self.jobs[worker.name, request_id]
-        return answer(503, b"X-Rejected: 1\r\n")
-
-    def give_up(self, worker: ModelServer, request_id: str) -> bytes:
-        """Drop a job, if it is here; the answer."""
-        job = self.jobs.pop((worker.name, request_id), None)
+    def accept_or_reject(self, model_server: ModelServer, request_id: str, work_ms: float) -> bytes:
+        """Accept or reject a request; return the response."""
+        job = Job(request_id, work_ms, 1.0, partial(self._send_callback, model_server, request_id))
+        self.jobs[model_server.name, request_id] = job
+        if model_server.offer(job):
+            return response(202)
+        del self.jobs[model_server.name, request_id]
+        return response(503, b"X-Rejected: 1\r\n")
+
+    def cancel(self, model_server: ModelServer, request_id: str) -> bytes:
+        """Cancel a request if it is present; return the response."""
+        job = self.jobs.pop((model_server.name, request_id), None)
         if job is not None:
-            worker.drop(job, running=True)
-        return answer(204)
-
-    def _tell(self, worker: ModelServer, request_id: str, what: str) -> None:
-        told: dict[str, Any] = {"id": request_id, "from": worker.name, "state": STATES.get(what, "lost")}
-        if what != "began":
-            self.jobs.pop((worker.name, request_id), None)
-            told |= {"result": "made", "load": load_report_fields(worker)}
-        call = send_callback(self.session, self.told["dispatcher"], told, RETRY_CALLBACK_S)
+            model_server.drop(job, running=True)
+        return response(204)
+
+    def _send_callback(self, model_server: ModelServer, request_id: str, job_event: str) -> None:
+        message: dict[str, Any] = {
+            "id": request_id,
+            "from": model_server.name,
+            "state": CALLBACK_STATES.get(job_event, "lost"),
+        }
+        if job_event != "began":
+            self.jobs.pop((model_server.name, request_id), None)
+            message |= {"result": "made", "load": load_report_fields(model_server)}
+        call = send_callback(self.session, self.config["dispatcher"], message, CALLBACK_RETRY_S)
         task = asyncio.create_task(call)
         self.callbacks.add(task)
         task.add_done_callback(self.callbacks.discard)
 
 
-def answer(status: int, headers: bytes = b"") -> bytes:
-    """An HTTP answer without a body."""
+def response(status: int, headers: bytes = b"") -> bytes:
+    """An HTTP response without a body."""
     return b"HTTP/1.1 %d -\r\n%sContent-Length: 0\r\n\r\n" % (status, headers)
 
 
 class Connection(asyncio.Protocol):
-    """One connection of the dispatcher to an endpoint: requests with their length given, one at a time."""
+    """A connection from the dispatcher to an endpoint; serves one request with a Content-Length at a time."""
 
-    def __init__(self, endpoints: Endpoints, worker: ModelServer) -> None:
-        self.endpoints, self.server = endpoints, worker
+    def __init__(self, endpoints: Endpoints, model_server: ModelServer) -> None:
+        self.endpoints, self.server = endpoints, model_server
         self.received = b""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -126,37 +132,37 @@
             if len(rest) < length:
                 return
             self.received = rest[length:]
-            self.transport.write(self._answer(first, headers.get("x-call-id", ""), rest[:length]))
+            self.transport.write(self._respond(first, headers.get("x-call-id", ""), rest[:length]))
 
-    def _answer(self, first: str, request_id: str, body: bytes) -> bytes:
+    def _respond(self, first: str, request_id: str, body: bytes) -> bytes:
         method, target, _ = first.split(" ")
         if method == "POST":
-            # The body says how many milliseconds the work takes.
-            return self.endpoints.take(self.server, request_id, float(body))
+            # The body is the run time of the request in milliseconds.
+            return self.endpoints.accept_or_reject(self.server, request_id, float(body))
         if method == "DELETE":
-            return self.endpoints.give_up(self.server, target.rpartition("/")[2])
-        figures = ",".join([f"{name}={figure:g}" for name, figure in load_report_fields(self.server).items()])
-        return answer(200, f"X-Load-Report: {figures}\r\n".encode()) if target == "/ping" else answer(404)
+            return self.endpoints.cancel(self.server, target.rpartition("/")[2])
+        fields = ",".join([f"{name}={value:g}" for name, value in load_report_fields(self.server).items()])
+        return response(200, f"X-Load-Report: {fields}\r\n".encode()) if target == "/ping" else response(404)
 
 
-def write_whole(path: Path, told: dict[str, Any]) -> None:
-    """Write a file in one step: who looks for it finds all of it or nothing."""
-    path.with_suffix(".new").write_text(json.dumps(told))
+def write_atomically(path: Path, report: dict[str, Any]) -> None:
+    """Write a file atomically: a reader finds either no new content or all of it."""
+    path.with_suffix(".new").write_text(json.dumps(report))
     path.with_suffix(".new").replace(path)
 
 
-async def main(told: dict[str, Any]) -> None:
-    """Serve until SIGTERM, then tell how many connections were made."""
-    ended = asyncio.Event()
-    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, ended.set)
-    endpoints = Endpoints(told)
-    report = Path(told["report"])
+async def main(config: dict[str, Any]) -> None:
+    """Serve until SIGTERM, then report the number of connections."""
+    terminated = asyncio.Event()
+    asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, terminated.set)
+    endpoints = Endpoints(config)
+    report = Path(config["report"])
     try:
-        write_whole(report, {"addresses": await endpoints.open()})
-        await ended.wait()
+        write_atomically(report, {"addresses": await endpoints.open()})
+        await terminated.wait()
     finally:
         await endpoints.close()
-    write_whole(report, {"connections": endpoints.connections})
+    write_atomically(report, {"connections": endpoints.connections})
 
 
 if __name__ == "__main__":
--- a/bench/scale_process.py
+++ b/bench/scale_process.py
@@ -1,4 +1,4 @@
-"""Processes that one measurement starts, ends and reaps by their ids, and what the kernel says they use."""
+"""Child processes of a measurement, and the resources that they use according to /proc."""
 
 from __future__ import annotations
 
@@ -13,26 +13,28 @@
 
 from dunepulley.load.processes import ROOT, end_with_parent
 
-LOOK_S = 0.05
-TICKS = os.sysconf("SC_CLK_TCK")
-# Where utime and stime stand in /proc/PID/stat, counted behind the name in brackets.
+POLL_INTERVAL_S = 0.05
+TICKS_PER_S = os.sysconf("SC_CLK_TCK")
+# Positions of utime and stime in /proc/PID/stat, counted from the field after the name in parentheses.
 USER_TIME, SYSTEM_TIME = 11, 12
 
 
 class ProcessError(Exception):
-    """A process did not do what it was started for; the text says which."""
+    """A process failed or did not become ready in time; the text names the process."""
 
 
-class Started:
-    """One process of our own."""
+class ChildProcess:
+    """A Python process whose output goes to `NAME.log`; it ends when the parent process ends."""
 
-    def __init__(self, folder: Path, name: str, words: list[str], more: dict[str, str] | None = None) -> None:
+    def __init__(
+        self, folder: Path, name: str, arguments: list[str], variables: dict[str, str] | None = None
+    ) -> None:
         self.name = name
         self.log = folder / f"{name}.log"
-        environment = os.environ | {"PYTHONPATH": os.pathsep.join([str(ROOT), *sys.path])} | (more or {})
+        environment = os.environ | {"PYTHONPATH": os.pathsep.join([str(ROOT), *sys.path])} | (variables or {})
         with self.log.open("ab") as log:
             self.process = subprocess.Popen(
-                [sys.executable, *words],
+                [sys.executable, *arguments],
                 cwd=ROOT,
                 env=environment,
                 stdin=subprocess.DEVNULL,
@@ -41,64 +43,66 @@
                 preexec_fn=end_with_parent(),
             )
 
-    async def until(self, what: str, limit_s: float, condition: Callable[[], bool]) -> None:
-        """Wait for a condition; raises ProcessError if the process ends before, or it takes too long."""
-        end = asyncio.get_running_loop().time() + limit_s
+    async def wait_until(self, what: str, limit_s: float, condition: Callable[[], bool]) -> None:
+        """Wait for a condition, named `what`; raises ProcessError at the end of the process or the limit."""
+        deadline_s = asyncio.get_running_loop().time() + limit_s
         while not condition():
             if self.process.poll() is not None:
-                raise ProcessError(f"{self.name} ended with {self.process.returncode}: {self.said()}")
-            if asyncio.get_running_loop().time() > end:
-                raise ProcessError(f"{self.name}: no {what} within {limit_s:g} s: {self.said()}")
-            await asyncio.sleep(LOOK_S)
-
-    def said(self) -> str:
-        """The end of its log."""
+                raise ProcessError(
+                    f"{self.name}: exited with {self.process.returncode} before {what}: {self.log_tail()}"
+                )
+            if asyncio.get_running_loop().time() > deadline_s:
+                raise ProcessError(f"{self.name}: no {what} within {limit_s:g} s: {self.log_tail()}")
+            await asyncio.sleep(POLL_INTERVAL_S)
+
+    def log_tail(self) -> str:
+        """The last 2000 characters of the log."""
         return self.log.read_text(errors="replace")[-2000:].strip()
 
-    async def end(self, limit_s: float = 10.0) -> int:
-        """Ask it to end, and wait; raises ProcessError if it does not within the limit. Its exit code."""
+    async def terminate(self, limit_s: float = 10.0) -> int:
+        """Send SIGTERM and wait; returns the exit code, raises ProcessError at the limit."""
         self.process.send_signal(signal.SIGTERM)
-        end = asyncio.get_running_loop().time() + limit_s
+        deadline_s = asyncio.get_running_loop().time() + limit_s
         while self.process.poll() is None:
-            if asyncio.get_running_loop().time() > end:
-                raise ProcessError(f"{self.name} did not end within {limit_s:g} s of SIGTERM")
-            await asyncio.sleep(LOOK_S)
+            if asyncio.get_running_loop().time() > deadline_s:
+                raise ProcessError(f"{self.name}: still running {limit_s:g} s after SIGTERM")
+            await asyncio.sleep(POLL_INTERVAL_S)
         return self.process.returncode
 
     def kill(self) -> None:
-        """End and reap it, however it stands."""
+        """Kill the process if it still runs, and reap it."""
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
 
-    # ---------------------------------------------------------------- what it uses
+    # ---------------------------------------------------------------- resource usage
 
     def cpu_s(self) -> float:
-        """User and system time of all its threads so far, to 10 ms."""
+        """User and system time of all threads so far, with a resolution of 10 ms."""
         text = Path(f"/proc/{self.process.pid}/stat").read_text()
         fields = text.rpartition(")")[2].split()
-        return (int(fields[USER_TIME]) + int(fields[SYSTEM_TIME])) / TICKS
+        return (int(fields[USER_TIME]) + int(fields[SYSTEM_TIME])) / TICKS_PER_S
 
     def peak_memory_mb(self) -> float:
-        """The most memory that it has held."""
+        """The peak of the resident memory (VmHWM) in MB."""
         lines = Path(f"/proc/{self.process.pid}/status").read_text().splitlines()
         return int(next(line for line in lines if line.startswith("VmHWM")).split()[1]) / 1024.0
 
     def descriptors(self) -> int:
-        """How many file descriptors it holds now."""
+        """The number of open file descriptors."""
         return len(list(Path(f"/proc/{self.process.pid}/fd").iterdir()))
 
 
 class PeakDescriptors:
-    """Counts a process's descriptors over and over, and keeps the most."""
+    """Polls the number of a process's open descriptors and keeps the maximum."""
 
-    def __init__(self, process: Started) -> None:
+    def __init__(self, process: ChildProcess) -> None:
         self.process = process
-        self.most = 0
+        self.maximum = 0
 
     async def watch(self) -> None:
-        """Look until cancelled, or until the process has gone."""
+        """Poll until cancelled or until the process has ended."""
         with contextlib.suppress(OSError):
             while True:
-                self.most = max(self.most, self.process.descriptors())
-                await asyncio.sleep(LOOK_S)
+                self.maximum = max(self.maximum, self.process.descriptors())
+                await asyncio.sleep(POLL_INTERVAL_S)
--- a/bench/scale_timed.py
+++ b/bench/scale_timed.py
@@ -1,9 +1,10 @@
-"""`python -m dunepulley`, with every callback of its event loop timed from outside.
+"""Runs `python -m dunepulley` and times every callback of its event loop.
 
     python -m bench.scale_timed FILE serve ...
 
-The same program in the same process: only the step of the event loop that runs one callback is wrapped.
-Callbacks over `NOTED_MS` are written to FILE at the end, as a JSON list of `scale_limits.Callback` fields.
+The program itself is unchanged: only the event loop's method that runs one callback is wrapped. Callbacks
+that took more than `MIN_RECORDED_MS` of CPU time are written to FILE at the end, as a JSON list of
+`scale_limits.Callback` fields.
 """
 
 from __future__ import annotations
@@ -19,63 +20,63 @@
 
 from bench.scale_limits import Callback
 
-NOTED_MS = 1.0
+MIN_RECORDED_MS = 1.0
 
 
 def name_of(callback: Any) -> str:
-    """What a callback runs: the coroutine of a task's step, else the function."""
+    """The name of what a callback runs: the coroutine if it is a task's step, else the function."""
     owner = getattr(callback, "__self__", None)
     if isinstance(owner, asyncio.Task):
         return owner.get_coro().__qualname__
     return getattr(callback, "__qualname__", repr(callback))
 
 
-class Collections:
-    """The CPU time that the garbage collector has taken, within whichever callback it began."""
+class CollectionTimer:
+    """Sums the CPU time of garbage collections, which run inside whichever callback triggers them."""
 
     def __init__(self) -> None:
-        self.began = self.taken_ms = 0.0
+        self.started_s = self.total_ms = 0.0
 
-    def saw(self, phase: str, _: dict[str, int]) -> None:
-        """Take in a word of the collector (`gc.callbacks`)."""
+    def on_collection(self, phase: str, _: dict[str, int]) -> None:
+        """Record the start or the end of a collection (an entry of `gc.callbacks`)."""
         if phase == "start":
-            self.began = time.thread_time()
+            self.started_s = time.thread_time()
         else:
-            self.taken_ms += (time.thread_time() - self.began) * 1000.0
+            self.total_ms += (time.thread_time() - self.started_s) * 1000.0
 
 
-def time_callbacks(noted: list[Callback]) -> None:
-    """Have every callback timed from now on; the long ones go to `noted`."""
-    plain_run = asyncio.Handle._run
-    collections = Collections()
-    gc.callbacks.append(collections.saw)
+def time_callbacks(recorded: list[Callback]) -> None:
+    """Time every callback from now on and append the long ones to `recorded`."""
+    original_run = asyncio.Handle._run
+    collection_timer = CollectionTimer()
+    gc.callbacks.append(collection_timer.on_collection)
 
     def timed_run(handle: asyncio.Handle) -> None:
         callback = handle._callback
-        collected_ms = collections.taken_ms
-        began, cpu = time.monotonic(), time.thread_time()
-        plain_run(handle)
-        cpu_ms = (time.thread_time() - cpu) * 1000.0
-        wall_ms = (time.monotonic() - began) * 1000.0
-        if cpu_ms > NOTED_MS:
-            name, collected_ms = name_of(callback), collections.taken_ms - collected_ms
+        collected_ms = collection_timer.total_ms
+        started_s, started_cpu_s = time.monotonic(), time.thread_time()
+        original_run(handle)
+        cpu_ms = (time.thread_time() - started_cpu_s) * 1000.0
+        wall_ms = (time.monotonic() - started_s) * 1000.0
+        if cpu_ms > MIN_RECORDED_MS:
+            name, collected_ms = name_of(callback), collection_timer.total_ms - collected_ms
             if collected_ms:
                 name += f" ({collected_ms:.1f} of it garbage collection)"
-            noted.append(Callback(began, cpu_ms, wall_ms, name))
+            recorded.append(Callback(started_s, cpu_ms, wall_ms, name))
 
     asyncio.Handle._run = timed_run
 
 
 def main(arguments: list[str]) -> int:
-    """Run a command of `python -m dunepulley`; its exit code."""
+    """Run a command of `python -m dunepulley`; return its exit code."""
     from dunepulley.__main__ import main as run
 
-    noted: list[Callback] = []
-    time_callbacks(noted)
+    recorded: list[Callback] = []
+    time_callbacks(recorded)
     try:
         return run(arguments[1:])
     finally:
-        Path(arguments[0]).write_text(json.dumps([asdict(callback) for callback in noted]))
+        Path(arguments[0]).write_text(json.dumps([asdict(callback) for callback in recorded]))
 
 
 if __name__ == "__main__":
--- a/dunepulley/__main__.py
+++ b/dunepulley/__main__.py
@@ -98,7 +98,9 @@
     try:
         start = agent_config.read(path)
         if new_votes and start.fleet is None:
-            raise agent_config.AgentConfigError(f"{path}: --new-votes goes with a [fleet]")
+            raise agent_config.AgentConfigError(
+                f"{path}: fleet: expected a [fleet] table, as --new-votes is given"
+            )
         return asyncio.run(agent.serve(start, new_votes))
     except (
         agent_config.AgentConfigError,
--- a/dunepulley/agent/ctl/calls.py
+++ b/dunepulley/agent/ctl/calls.py
@@ -13,6 +13,7 @@
 # Added to the agent's own timeouts, so that those expire first.
 _MARGIN_S = 10.0
 _CHECK_TIMEOUT_S = 15.0
+# Commands that all agents check before the first agent executes them.
 _CHECKED_FIRST = ("drain", "restore", "restart")
 
 
--- a/dunepulley/agent/ctl/rendering.py
+++ b/dunepulley/agent/ctl/rendering.py
@@ -110,8 +110,8 @@
     lines = format_table(rows) if len(rows) > 1 else ["no drain stands"]
     for ended in message.get("ended", []):
         drain, by = ended["drain"], f" by {ended['by']}" if ended["by"] else ""
-        which = f"{drain['what']} {drain['name']}, by {drain['by']}"
-        lines.append(sanitize(f"{_local_time(ended['at'])} {ended['how']}{by}: {which}"))
+        ended_drain = f"{drain['what']} {drain['name']}, by {drain['by']}"
+        lines.append(sanitize(f"{_local_time(ended['at'])} {ended['how']}{by}: {ended_drain}"))
     return lines
 
 
@@ -136,8 +136,8 @@
     confirmed = "not confirmed by a majority"
     if confirmed_ms is not None:
         confirmed = f"confirmed {confirmed_ms / 1000.0:.1f} s ago"
-    made = f", by {plan['by']} at {_local_time(plan['at'])}" if plan["by"] else ""
-    lines = [sanitize(f"plan {plan['number']} of epoch {plan['epoch']}{made}; {confirmed}")]
+    origin = f", by {plan['by']} at {_local_time(plan['at'])}" if plan["by"] else ""
+    lines = [sanitize(f"plan {plan['number']} of epoch {plan['epoch']}{origin}; {confirmed}")]
     rows: Rows = [list(_ZONE_HEAD), *[_zone_row(zone) for zone in message["zones"]]]
     lines += format_table(rows) if len(rows) > 1 else ["no zone is known"]
     agents: Rows = [["agent", "stands", "votes", ""]]
@@ -149,11 +149,11 @@
 
 
 def _zone_row(zone: dict[str, Any]) -> list[Any]:
-    over = ", ".join([f"{fraction:.0%} to {name}" for name, fraction, _ in zone["over"]])
+    spillover = ", ".join([f"{fraction:.0%} to {name}" for name, fraction, _ in zone["over"]])
     lost = f"{zone['lost']:.0f}/{zone['sent']:.0f}"
     capacity = "unknown" if zone["capacity"] is None else zone["capacity"]
     why = zone["why"] if not zone["word"] else _override_text(zone["word"], zone["by itself"])
-    return [zone["name"], zone["state"], over, zone["demand"], capacity, zone["workers"], lost, why]
+    return [zone["name"], zone["state"], spillover, zone["demand"], capacity, zone["workers"], lost, why]
 
 
 def _override_text(override: dict[str, Any], planned_state: str) -> str:
--- a/dunepulley/agent/drain_distribution.py
+++ b/dunepulley/agent/drain_distribution.py
@@ -23,7 +23,10 @@
 from dunepulley.routing.events import EndpointEntry
 
 FAST_ANSWER_TIMEOUT_S = 0.3
-"""Dispatchers normally answer within a few ms; only on an overloaded machine they take longer."""
+"""The first timeout for the dispatchers' answers, in s.
+
+Dispatchers normally answer within a few ms; only on an overloaded machine they take longer.
+"""
 
 
 @dataclass(frozen=True, slots=True)
--- a/dunepulley/agent/fleet_heartbeats.py
+++ b/dunepulley/agent/fleet_heartbeats.py
@@ -46,7 +46,7 @@
 
     async def handle_heartbeat(self, message: dict[str, Any]) -> dict[str, Any]:
         """Reply to the heartbeat of another member; raises `WireError` or `ProtocolError`."""
-        # Only replies confirm the plan: a request may have been delayed by any time.
+        # Only replies confirm the plan: a request may have been delayed for any length of time.
         self._record(message, None)
         reply = self.encode()
         if codec.decode_plan_version(message.get("known")) < self._state.plan.version:
--- a/dunepulley/agent/operator_commands.py
+++ b/dunepulley/agent/operator_commands.py
@@ -18,6 +18,7 @@
 from dunepulley.control import drain_json, drains
 from dunepulley.control.drains import DrainSet
 
+# How long a command waits for dispatchers to apply a change of the drains: the default and the maximum.
 _APPLY_S, _MAX_APPLY_S = 5.0, 60.0
 # A restart may take as long as the longest request.
 _RESTART_S, _MAX_RESTART_S = 60.0, 3600.0
--- a/dunepulley/clocks.py
+++ b/dunepulley/clocks.py
@@ -16,9 +16,13 @@
 from typing import NamedTuple, Protocol
 
 STEP_MS = 500.0
-"""The smallest difference between two clocks, in ms, that counts as a step: they are not read at one time."""
+"""The smallest difference between two clocks, in ms, that counts as a step.
 
-# A wall clock reading between two monotonic readings no further apart than this was read without a pause.
+Smaller differences arise as two clocks are not read at the same time.
+"""
+
+# A wall clock reading can be compared with the monotonic readings before and after it if these differ by less
+# than this: the process was not paused between them.
 _MAX_READ_GAP_MS = 10.0
 _READ_ATTEMPTS = 3
 _BOOT_ID_PATH = "/proc/sys/kernel/random/boot_id"
@@ -120,7 +124,7 @@
         return Stamp(self.source.boot(), self.monotonic_ms(), self.wall_ms())
 
     def elapsed_since(self, stamp: Stamp) -> float:
-        """Return the ms that have passed since a stamp, or 0 for a stamp of another boot."""
+        """Return the ms that have passed since a stamp; 0 for one of another boot, as it is then unknown."""
         if stamp.boot != self.source.boot():
             return 0.0
         return max(0.0, self.monotonic_ms() - stamp.monotonic_ms)
--- a/dunepulley/control/codec.py
+++ b/dunepulley/control/codec.py
@@ -79,7 +79,10 @@
     """Decode an acceptor's reply."""
     granted = value.get("yes")
     if not isinstance(granted, bool) or not isinstance(value.get("value"), str):
-        raise ProtocolError("acceptor reply: expected a boolean under 'yes' and a string under 'value'")
+        raise ProtocolError(
+            "acceptor reply: expected a boolean under 'yes' and a string under 'value', "
+            f"got {type(granted).__name__} and {type(value.get('value')).__name__}"
+        )
     promised, accepted = decode_ballot(value.get("promised")), decode_ballot(value.get("accepted"))
     return AcceptorReply(granted, promised, accepted, decode_register_value(value["value"]))
 
--- a/dunepulley/control/membership.py
+++ b/dunepulley/control/membership.py
@@ -83,8 +83,8 @@
             and incarnation < last.incarnation
             and now - last.received_ms < HEARTBEAT_TIMEOUT_MS
         ):
-            # From an earlier process, which ends while the next one runs already. Later than the timeout it
-            # is accepted, as the member's wall clock may have been set back between its two starts.
+            # It is from an earlier process, which is still ending while the next one already runs. After the
+            # timeout it is accepted, as the member's wall clock may have been set back between both starts.
             return False
         known_ages = {member: ages[member] for member in self.members if member in ages}
         self.heartbeats[name] = Heartbeat(now, incarnation, known_ages)
@@ -109,7 +109,8 @@
     def _hears_this_agent(self, heartbeat: Heartbeat, now: float) -> bool:
         """Whether the sender of a heartbeat receives the heartbeats of this agent."""
         age = heartbeat.ages.get(self.name)
-        # The age has grown since it was sent. Twice the timeout, as the two sides send at different moments.
+        # The age has grown since the heartbeat was sent. It may be up to twice the timeout, as the two sides
+        # send at different moments.
         return age is not None and age + (now - heartbeat.received_ms) < 2.0 * HEARTBEAT_TIMEOUT_MS
 
     def _is_reached_by_another(self, name: str, now: float) -> bool:
--- a/dunepulley/control/regions.py
+++ b/dunepulley/control/regions.py
@@ -81,7 +81,7 @@
 
 
 def _parse_region(table: dict[str, Any]) -> Region:
-    name = parse_name(table.get("name"), "name")
+    name = parse_name(table.get("name"), "region: name")
     _check_keys(table, REGION_KEYS, name)
     zones = _parse_names(table.get("zones"), f"{name}: zones")
     if not zones:
@@ -104,7 +104,7 @@
 def _check_unique(names: list[str]) -> None:
     repeated = sorted({name for name in names if names.count(name) > 1})
     if repeated:
-        raise ConfigurationError(f"{repeated[0]} is listed twice")
+        raise ConfigurationError(f"region: name or zone {repeated[0]} is listed twice")
 
 
 def _check_near(regions: list[Region]) -> None:
--- a/dunepulley/load/check.py
+++ b/dunepulley/load/check.py
@@ -22,7 +22,7 @@
 
 
 class Span(NamedTuple):
-    """The time span of a fault, and the two ends of the link or the name of the process."""
+    """The time span of a fault, in ms since the start of the run, and the link's two ends or the process."""
 
     first: float
     last: float
@@ -77,6 +77,7 @@
         )
         self.request_classes = {request_class.name: request_class for request_class in scenario.categories}
         self.homes: dict[str, str] = {}
+        # When each request was sent, and to which dispatcher.
         self.sent: dict[str, tuple[float, str]] = {}
         self.class_names: dict[str, str] = {}
         # The servers at which attempts of a request have neither ended nor been cancelled.
@@ -108,13 +109,13 @@
         cut = self._overlapping(self.links, {CLIENTS, dispatcher}, at, until)
         return bool(cut or self._overlapping(self.processes, {dispatcher}, at, until))
 
-    def _server(self, name: str, **more: Any) -> RecordedServer:
+    def _server(self, name: str, **attributes: Any) -> RecordedServer:
         number = int(name[1:])
         return RecordedServer(
             name,
             zone_of(self.scenario, number, self.scenario.workers),
             str(number % self.scenario.cells),
-            **more,
+            **attributes,
         )
 
     def _read_sent(self, at: float, event: dict[str, Any]) -> None:
--- a/dunepulley/load/clients.py
+++ b/dunepulley/load/clients.py
@@ -166,10 +166,10 @@
 def open_session() -> aiohttp.ClientSession:
     """Return a client session whose requests record whether they reused an open connection."""
     trace = aiohttp.TraceConfig()
-    trace.on_connection_reuseconn.append(_note_reused)
+    trace.on_connection_reuseconn.append(_record_reuse)
     return aiohttp.ClientSession(connector=aiohttp.TCPConnector(limit=0), trace_configs=[trace])
 
 
-async def _note_reused(session: aiohttp.ClientSession, context: Any, params: Any) -> None:
+async def _record_reuse(session: aiohttp.ClientSession, context: Any, params: Any) -> None:
     if context.trace_request_ctx is not None:
         context.trace_request_ctx["reused"] = True
--- a/dunepulley/load/faults.py
+++ b/dunepulley/load/faults.py
@@ -50,25 +50,25 @@
             return [text]
         kind, _, zone = text.partition("@")
         if kind in self.zones:
-            found = [name for name, home in self.zones[kind].items() if not zone or home == zone]
+            found = [name for name, home_zone in self.zones[kind].items() if not zone or home_zone == zone]
         else:
             found = [text] if any([text in names for names in self.zones.values()]) else []
         if not found:
             raise ValueError(f"fault: {text!r} is not a known process or group")
         return found
 
-    def links_between(self, one: str, other: str) -> list[tuple[str, str]]:
+    def links_between(self, end: str, other_end: str) -> list[tuple[str, str]]:
         """Return the links between two participants as (caller, target).
 
         Raises ValueError where there is none.
         """
         pairs = [
             pair
-            for pair in ((one, other), (other, one))
+            for pair in ((end, other_end), (other_end, end))
             if any([pair[0] in a and pair[1] in b for a, b in self._possible_links()])
         ]
         if not pairs:
-            raise ValueError(f"fault: there is no link between {one} and {other}")
+            raise ValueError(f"fault: there is no link between {end} and {other_end}")
         return pairs
 
     def _possible_links(self) -> list[tuple[Iterable[str], Iterable[str]]]:
@@ -216,9 +216,9 @@
         """Apply the combination of all active faults to these links."""
         for pair in links:
             link = self.links[pair]
-            active_here = [planned for planned in self.active.values() if pair in planned.links]
+            planned_faults = [planned for planned in self.active.values() if pair in planned.links]
             for name, direction in link.directions.items():
-                active = [planned.fault for planned in active_here if name in planned.directions(pair)]
+                active = [planned.fault for planned in planned_faults if name in planned.directions(pair)]
                 direction.delay_ms = max(
                     [fault.size for fault in active if fault.kind == "slow"], default=0.0
                 )
@@ -227,7 +227,7 @@
                 )
                 is_cut = any([fault.kind == "cut" for fault in active])
                 (direction.connected.clear if is_cut else direction.connected.set)()
-            refuses = any([planned.fault.kind == "refuse" for planned in active_here])
+            refuses = any([planned.fault.kind == "refuse" for planned in planned_faults])
             if refuses and not link.refusing:
                 link.refuse()
             link.refusing = refuses
--- a/dunepulley/load/links.py
+++ b/dunepulley/load/links.py
@@ -100,8 +100,8 @@
             host, _, port = self.target.rpartition(":")
             remote_reader, remote_writer = await asyncio.open_connection(host, int(port))
             self.writers.add(remote_writer)
-            forward = asyncio.create_task(self._carry(reader, remote_writer, self.directions[FORWARD]))
-            backward = asyncio.create_task(self._carry(remote_reader, writer, self.directions[BACKWARD]))
+            forward = asyncio.create_task(self._forward(reader, remote_writer, self.directions[FORWARD]))
+            backward = asyncio.create_task(self._forward(remote_reader, writer, self.directions[BACKWARD]))
             await asyncio.wait([forward, backward], return_when=asyncio.ALL_COMPLETED)
         except OSError:
             writer.transport.abort()
@@ -112,7 +112,7 @@
                     open_writer.close()
             self.tasks.discard(task)
 
-    async def _carry(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, direction: Direction
     ) -> None:
         try:
--- a/dunepulley/load/processes.py
+++ b/dunepulley/load/processes.py
@@ -29,8 +29,8 @@
 def _end_with(parent: int) -> None:
     """Have the kernel kill this process when its parent dies.
 
-    The kernel only signals a death after the call, so the function then checks whether the parent died
-    between the fork and the call.
+    The kernel only signals a death that occurs after the call, so the function then checks whether the
+    parent died between the fork and the call.
     """
     LIBC.prctl(PR_SET_PDEATHSIG, signal.SIGKILL)
     if os.getppid() != parent:
--- a/dunepulley/load/runner.py
+++ b/dunepulley/load/runner.py
@@ -73,8 +73,11 @@
         self.sent_states: dict[str, dict[str, str]] = {
             name: {} for name in self.participants.dispatcher_zones
         }
+        # The current entry of each listed server, which dispatchers receive after a delay.
         self.entries: dict[str, dict[str, Any]] = {}
+        # The current additional delays of the endpoint list and of load reports, in ms.
         self.list_late = self.reports_late = 0.0
+        # Per server: its recent load reports, and when each was taken.
         self.snapshots: dict[str, list[tuple[float, dict[str, float]]]] = {
             name: [] for name in simulation.servers
         }
@@ -96,13 +99,13 @@
 
     def record_event(self, event: str, name: str, request_id: str, work: float) -> None:
         """Record an event of an attempt."""
-        more = {}
+        fields = {}
         server = self.stub_servers.workers[name]
         if event == "arrived":
-            more["work"] = work
+            fields["work"] = work
             if server.started_ms > 0.0 and self.time.now - server.started_ms < self.scenario.cold_s * 1000.0:
-                more["able"] = server.speed * server.factors.get("cold", 1.0) * server.slots
-        self.record.add_event(event, worker=name, wi=request_id, **more)
+                fields["able"] = server.speed * server.factors.get("cold", 1.0) * server.slots
+        self.record.add_event(event, worker=name, wi=request_id, **fields)
 
     def load_report(self, server: ModelServer) -> dict[str, float]:
         """Return a server's load report, refreshed periodically and delayed as in the simulation."""
@@ -124,8 +127,17 @@
         """
         server = self.stub_servers.workers.get(name)
         if server is None:
-            s = self.simulation.servers[name]
-            server = ModelServer(self.time, name, s.zone, s.kind, s.cell, s.slots, s.max_queue, s.speed)
+            drawn = self.simulation.servers[name]
+            server = ModelServer(
+                self.time,
+                name,
+                drawn.zone,
+                drawn.kind,
+                drawn.cell,
+                drawn.slots,
+                drawn.max_queue,
+                drawn.speed,
+            )
         address = await self.stub_servers.open(server)
         entry = member(name, address, server.zone, server.kind, server.cell)
         self.entries[name] = entry | {
@@ -312,7 +324,8 @@
             self.schedule_disturbances(begin * 1000.0)
             self.faults.start(begin, {"kill": self._kill, "end": self._terminate, "stop": self._stop})
             results = await self.clients.send_all(self.requests, begin, self.session)
-            # Wait until all faults have ended, also those that restart a process after the last request.
+            # Wait until all faults have ended, also those that restart a process after the last request, so
+            # that the check covers their events.
             await asyncio.gather(*self.faults.tasks)
             for task in self.tasks:
                 task.cancel()
@@ -332,11 +345,11 @@
     common = run.scenario.way == scenarios.COMMON_PLAN
     for dispatcher, name in enumerate(run.participants.dispatcher_zones):
         discovery = run.faults.routed_address(name, faults.DISCOVERY, run.discoveries[name])
-        more: dict[str, Any] = {"listen": f"127.0.0.1:{run.client_ports[name]}", "discovery": discovery}
-        more["known"] = {"revision": 1, "complete": True, "members": run.listed(name)}
+        top_level: dict[str, Any] = {"listen": f"127.0.0.1:{run.client_ports[name]}", "discovery": discovery}
+        top_level["known"] = {"revision": 1, "complete": True, "members": run.listed(name)}
         if common:
-            more |= {"console": f"127.0.0.1:{run.admin_ports[name]}", "plan": True}
-        document = dispatcher_configuration(run.scenario, run.seed, dispatcher, settings, **more)
+            top_level |= {"console": f"127.0.0.1:{run.admin_ports[name]}", "plan": True}
+        document = dispatcher_configuration(run.scenario, run.seed, dispatcher, settings, **top_level)
         (folder / f"{name}.json").write_text(json.dumps(document))
     for name, zone in run.participants.agent_zones.items():
         (folder / f"{name}.toml").write_text(agent_configuration(run, name, zone))
@@ -349,7 +362,7 @@
     lines = [f'listen = "127.0.0.1:{run.agent_ports[name]}"', f'state = "{name}-drains.json"']
     lines.append("answer_s = 1.0")
     for dispatcher in [
-        dispatcher for dispatcher, home in run.participants.dispatcher_zones.items() if home == zone
+        dispatcher for dispatcher, home_zone in run.participants.dispatcher_zones.items() if home_zone == zone
     ]:
         address = run.faults.routed_address(name, dispatcher, f"127.0.0.1:{run.admin_ports[dispatcher]}")
         lines += ["[[dispatcher]]", f'name = "{dispatcher}"', f'console = "{address}"']
--- a/dunepulley/load/stub_servers.py
+++ b/dunepulley/load/stub_servers.py
@@ -119,7 +119,8 @@
         if request.method == "DELETE":
             request_id = request.path.rpartition("/")[2]
             job = self.jobs.get((server.name, request_id))
-            # Recorded even if the attempt has not been read yet: the cancellation may overtake it.
+            # Recorded even if the attempt has not been read yet: its connection is closed, and the
+            # cancellation may overtake it.
             self.host.record_event("given up", server.name, request_id, 0.0)
             if job is not None and server.drop(job, self.cancels):
                 del self.jobs[server.name, request_id]
--- a/dunepulley/model/compare.py
+++ b/dunepulley/model/compare.py
@@ -69,7 +69,7 @@
     Returns the mean payoff of each, the difference with its confidence interval, and a conclusion in words.
     """
     pairs = list(zip(runs_a, runs_b, strict=True))
-    assert all([a["seed"] == b["seed"] for a, b in pairs]), "not the same seeds"
+    assert all([a["seed"] == b["seed"] for a, b in pairs]), "a and b: expected runs with the same seeds"
     violations = [f"{name}, seed {run['seed']}: {violation}" for name, runs in (("a", runs_a), ("b", runs_b))
               for run in runs for violation in run["broken"]]  # fmt: skip
     mean, low, high = bootstrap_interval([b["payoff"] - a["payoff"] for a, b in pairs])
@@ -112,8 +112,8 @@
     """Return the settings below a name; raises ValueError for a value of another type."""
     if isinstance(value, dict):
         settings: dict[str, Any] = {}
-        for inner, item in value.items():
-            settings |= _flatten(f"{name}.{inner}" if name else inner, item)
+        for key, nested_value in value.items():
+            settings |= _flatten(f"{name}.{key}" if name else key, nested_value)
         return settings
     if isinstance(value, bool | str):
         return {name: value}
--- a/dunepulley/model/plans.py
+++ b/dunepulley/model/plans.py
@@ -29,7 +29,8 @@
 # Delay from an agent to its nearest dispatcher; the farthest dispatcher takes this many times as long.
 PLAN_DELIVERY_MS = 5.0
 MAX_DELIVERY_FACTOR = 7
-# An attempt without a response may last this long; within it, attempts at an evacuated zone are not counted.
+# An attempt without a response may last this long. Attempts that end at an evacuated zone less than this time
+# after all dispatchers received the plan are therefore not counted.
 UNANSWERED_ATTEMPT_MS = 1000.0
 
 
--- a/dunepulley/model/reported_load.py
+++ b/dunepulley/model/reported_load.py
@@ -29,7 +29,7 @@
         """Return the report that an answer carries now; `late_ms` is added to the scenario's delay."""
         snapshots = self.snapshots.setdefault(server.name, deque())
         if not snapshots or now - snapshots[-1].at >= self.scenario.report_period_ms:
-            snapshots.append(LoadSnapshot(now, self._noisy_figures(server)))
+            snapshots.append(LoadSnapshot(now, self._noisy_report(server)))
         reported_ms = now - self.scenario.report_delay_ms - late_ms
         while len(snapshots) > 1 and snapshots[1].at <= reported_ms:
             snapshots.popleft()
@@ -39,7 +39,7 @@
         """Discard the reports of a server that restarts."""
         self.snapshots.pop(name, None)
 
-    def _noisy_figures(self, server: ModelServer) -> dict[str, float]:
+    def _noisy_report(self, server: ModelServer) -> dict[str, float]:
         noise = (
             self.rng.normal(1.0, self.scenario.report_noise, 2) if self.scenario.report_noise else (1.0, 1.0)
         )
--- a/dunepulley/model/routing_loader.py
+++ b/dunepulley/model/routing_loader.py
@@ -30,7 +30,7 @@
 
 @cache
 def load_router(path: str) -> type[Router]:
-    """The `Router` class of another version, given its routing package's folder or its router's file.
+    """Return the `Router` class of another version, given its routing package's folder or its router's file.
 
     Raises `UnusableVersionError` where the path cannot be read, or its modules cannot be imported.
     """
--- a/dunepulley/model/scenario.py
+++ b/dunepulley/model/scenario.py
@@ -58,8 +58,9 @@
     It lasts from `from_s` to `to_s`. `one` and `other` are the two ends of links; for faults of processes and
     clocks `one` alone names the processes. Each is a group (clients, dispatchers, workers, discovery or
     agents), a group in one zone (`workers@z1`) or a single process (`n0`, `w3`). The fraction `part` of the
-    links or processes is drawn at random. `way` is the direction in which a link is affected, as seen from
-    `one`.
+    links or processes is drawn at random. `way` is the direction in which a link is affected: `there` from
+    `one` to `other`, `back`, or `both`. The meaning of `size` depends on the kind: see `LINK_FAULTS`; for
+    `clock` it is the offset of the servers' clocks in ms.
     """
 
     kind: str
@@ -73,7 +74,7 @@
 
 
 class Scenario(NamedTuple):
-    """A whole scenario."""
+    """All parameters of a run: its traffic, dispatchers, servers (`workers`), disturbances and faults."""
 
     seconds: float = 30.0
     dispatchers: int = 3
@@ -84,9 +85,9 @@
     way: str = "alone"  # "alone": all zones; "fixed": the dispatcher's own zone; "common": the traffic plan
     agree_ms: float = 60.0  # how long agents take to agree on a plan and to store it
     cells: int = 2
-    slots: int = 4
-    queue: int = 24
-    kinds: int = 3
+    slots: int = 4  # of each server
+    queue: int = 24  # maximum length of a server's queue
+    kinds: int = 3  # of machines that run servers
     kind_cv: float = 0.4  # coefficient of variation of the speed between kinds of machine
     speed_cv: float = 0.08  # the same between machines of one kind
     load: float = 0.6  # offered work divided by the capacity of all servers
@@ -101,14 +102,14 @@
     cold_s: float = 15.0  # how long a server takes to warm up
     fall_multiple: float = 4.0  # a warming server must not receive more than this multiple of its capacity
     fall_ms: float = 1000.0  # ... within this time
-    drain_grace_ms: float = 300.0
-    tells_start: bool = True
-    cancel: bool = True
-    second_copies: bool = True
-    most_hand_offs: int = 5
-    probes: bool = False
-    notes: bool = False
-    hints: bool = True
+    drain_grace_ms: float = 300.0  # how long after it was notified of a drain a dispatcher may send attempts
+    tells_start: bool = True  # whether servers report the start of an attempt
+    cancel: bool = True  # whether running attempts can be cancelled
+    second_copies: bool = True  # whether hedged requests are allowed
+    most_hand_offs: int = 5  # maximum number of attempts of a request
+    probes: bool = False  # whether dispatchers may send health checks
+    notes: bool = False  # whether dispatchers may exchange gossip messages
+    hints: bool = True  # whether requests carry their expected run time
     categories: tuple[RequestClass, ...] = (RequestClass("look"),)
     troubles: tuple[Disturbance, ...] = ()
     faults: tuple[Fault, ...] = ()
@@ -250,29 +251,29 @@
     return tables
 
 
-def _build(kind: Any, document: Any, where: str) -> Any:
-    """Return a NamedTuple of class `kind` from a table.
+def _build(table_type: Any, document: Any, section: str) -> Any:
+    """Return a NamedTuple of class `table_type` from a table; `section` names the table in error texts.
 
     Raises ValueError where a key is unknown, missing or has an invalid value.
     """
     if not isinstance(document, dict):
-        raise ValueError(f"{where}: expected a table")
+        raise ValueError(f"{section}: expected a table")
     fields = {
         name: getattr(type_hint, "__name__", str(type_hint))
-        for name, type_hint in get_type_hints(kind).items()
+        for name, type_hint in get_type_hints(table_type).items()
     }
     for name, value in document.items():
         if name not in fields or name in ("categories", "troubles", "faults"):
-            raise ValueError(f"{where} has {name}, which is not a known key")
+            raise ValueError(f"{section} has {name}, which is not a known key")
         expected = {"float": (int, float), "int": int, "bool": bool, "str": str}[fields[name]]
         if not isinstance(value, expected) or (fields[name] != "bool" and isinstance(value, bool)):
-            raise ValueError(f"{where}: {name} is {value!r}, expected {fields[name]}")
+            raise ValueError(f"{section}: {name} is {value!r}, expected {fields[name]}")
         if isinstance(value, int | float) and not 0.0 <= value < 1e12:
-            raise ValueError(f"{where}: {name}: expected a number from 0 to 1e12, got {value!r}")
-    missing = [name for name in fields if name not in document and name not in kind._field_defaults]
+            raise ValueError(f"{section}: {name}: expected a number from 0 to 1e12, got {value!r}")
+    missing = [name for name in fields if name not in document and name not in table_type._field_defaults]
     if missing:
-        raise ValueError(f"{where}: missing key {missing[0]}")
-    return kind(
+        raise ValueError(f"{section}: missing key {missing[0]}")
+    return table_type(
         **{name: float(value) if fields[name] == "float" else value for name, value in document.items()}
     )
 
--- a/dunepulley/model/simulated_time.py
+++ b/dunepulley/model/simulated_time.py
@@ -28,13 +28,13 @@
     def __init__(self) -> None:
         self.now = BEGIN
         self._queue: list[tuple[float, int, ScheduledCall]] = []
-        self._scheduled = 0
+        self._scheduled_count = 0
 
     def at(self, when: float, action: Callable[[], None]) -> ScheduledCall:
         """Schedule a call; a time in the past counts as now."""
         call = ScheduledCall(action)
-        self._scheduled += 1
-        heappush(self._queue, (max(when, self.now), self._scheduled, call))
+        self._scheduled_count += 1
+        heappush(self._queue, (max(when, self.now), self._scheduled_count, call))
         return call
 
     def run(self, until: float) -> None:
--- a/dunepulley/net/addresses.py
+++ b/dunepulley/net/addresses.py
@@ -11,8 +11,8 @@
     Raises ValueError if the text has another form, or if the port is not between 1 and 65535.
     """
     if not isinstance(text, str):
-        raise ValueError(f"{text!r} is no host:port")
+        raise ValueError(f"expected an address host:port, got {text!r:.60}")
     host, _, port = text.rpartition(":")
     if not host or not port.isdecimal() or not 0 < int(port) <= MAX_PORT:
-        raise ValueError(f"{text!r} is no host:port")
+        raise ValueError(f"expected an address host:port, got {text!r:.60}")
     return host.strip("[]"), int(port)
--- a/dunepulley/net/admin.py
+++ b/dunepulley/net/admin.py
@@ -15,7 +15,7 @@
 from dunepulley.net.listener import Listener
 from dunepulley.net.log_events import LogEvent
 
-# Room for a set of drains, which is one line.
+# Long enough for a set of drains, which is sent as one line.
 MAX_LINE_BYTES = 65536
 # Limit on the duration of a connection, from its start until the reply has been read.
 CONNECTION_TIMEOUT_S = 5.0
--- a/dunepulley/net/config.py
+++ b/dunepulley/net/config.py
@@ -196,7 +196,8 @@
     number, count = settings.get("me", 0.0), settings.get("balancers", 1.0)
     if len(peers) != count or not number < count:
         raise ValueError(
-            f"peers lists {len(peers)} dispatchers, but the settings make this number {number:g} of {count:g}"
+            f"peers: expected {count:g} addresses (settings.balancers) and settings.me below {count:g},"
+            f" got {len(peers)} addresses and me {number:g}"
         )
     return peers
 
@@ -210,7 +211,10 @@
         return None
     path, limit = (value.get("path"), value.get("most")) if isinstance(value, dict) else (None, None)
     if not isinstance(path, str) or isinstance(limit, bool) or not isinstance(limit, int) or limit < 1:
-        raise ValueError(f"trace is {value!r}, no path with the most items it may hold")
+        raise ValueError(
+            "trace: expected an object with path and most (the number of requests, from 1 on),"
+            f" got {value!r:.60}"
+        )
     return TraceConfig(path, min(limit, MAX_TRACE_REQUESTS))
 
 
@@ -223,7 +227,7 @@
     if path is None:
         return DrainSet()
     if not isinstance(path, str):
-        raise ValueError(f"drains is {path!r}, no path")
+        raise ValueError(f"drains: expected a path, got {path!r:.60}")
     try:
         with open(path, "rb") as file:
             return decode_drain_set(orjson.loads(file.read()), clock)
--- a/dunepulley/net/frontend/connection_table.py
+++ b/dunepulley/net/frontend/connection_table.py
@@ -126,8 +126,8 @@
     def close_idle(self, close_all: bool = False) -> None:
         """Close connections that wait for a request; a client that has just sent one sends it again.
 
-        Endpoints' connections and those with a partial request stay open: the request would be lost once the
-        client has sent it all. With `close_all` these are closed too, partial requests with a 503 response.
+        Endpoints' connections and those with a partial request stay open: a request that is completed after
+        the close would be lost. With `close_all` these are closed too, partial requests with a 503 response.
         """
         for connection in [*self.new, *self.idle]:
             if close_all or not connection.is_endpoint:
--- a/dunepulley/net/frontend/server.py
+++ b/dunepulley/net/frontend/server.py
@@ -1,7 +1,7 @@
 """The HTTP server for client requests, endpoints' callbacks and health checks.
 
 `FrontendServer` owns the listening socket and the connections accepted from it. Each request is handled by
-one task, which responds to the client, or tells the core when the client disconnects.
+one task, which responds to the client, or notifies the core when the client disconnects.
 """
 
 from __future__ import annotations
@@ -34,8 +34,8 @@
 LIBRARY_KEEP_ALIVE_S = 3.2e9
 # A request that the router leaves unanswered is failed this long after its timeout.
 UNANSWERED_GRACE_MS = 30.0
-# When the process ends: the time to write the last responses, and the polling interval meanwhile. It is short
-# because a shutdown lasts nearly until SIGKILL may come.
+# When the process ends: the time to write the last responses, and the polling interval meanwhile. A shutdown
+# that uses all of this time ends when SIGKILL may come.
 FINAL_RESPONSES_TIMEOUT_S, POLL_INTERVAL_S = 0.2, 0.01
 # Values of `FrontendServer.drain_state`: whether clients are served, or why they are sent to other
 # dispatchers: an operator's request, the end of the process, or another process that has taken over.
@@ -48,12 +48,17 @@
     Args:
         core: decides about requests; receives messages about them.
         settings: the router's settings, by their configured names.
-        sockets: the number of file descriptors that the process may use.
-        by_key: whether the last segment of a request's path is its affinity key.
+        max_descriptors: the number of file descriptors that the process may use.
+        affinity_by_path: whether the last segment of a request's path is its affinity key.
     """
 
     def __init__(
-        self, core: Core, settings: dict[str, Any], sockets: int, counters: Counters, by_key: bool = False
+        self,
+        core: Core,
+        settings: dict[str, Any],
+        max_descriptors: int,
+        counters: Counters,
+        affinity_by_path: bool = False,
     ) -> None:
         self.core = core
         self.counters = counters
@@ -66,16 +71,18 @@
         # Each request in progress holds a connection: at most a third of the descriptors. Nine sixteenths are
         # for all incoming connections, with callbacks and idle ones, one sixteenth is for operators, and the
         # remainder for endpoints and discovery.
-        self.max_requests = min(sockets // 3, int(settings.get("policyLimits.openCap", sockets)))
+        self.max_requests = min(
+            max_descriptors // 3, int(settings.get("policyLimits.openCap", max_descriptors))
+        )
         self.waiting: dict[str, PendingRequest] = {}
-        self.parser = RequestParser(core.clock, self.requires_key, by_key, self.has_request)
+        self.parser = RequestParser(core.clock, self.requires_key, affinity_by_path, self.has_request)
         self.recorder: Recorder | None = None
         self.none_waiting = asyncio.Event()
         self.drain_state, self.is_rejecting = SERVING, False
         self.timer: asyncio.TimerHandle | None = None
         self.server = ConnectionTable(
             self._serve,
-            sockets * 9 // 16,
+            max_descriptors * 9 // 16,
             counters,
             handler_cancellation=True,
             request_factory=_request,
--- a/dunepulley/net/hot_restart/listener.py
+++ b/dunepulley/net/hot_restart/listener.py
@@ -47,7 +47,10 @@
             listening.close()
             with contextlib.suppress(OSError):
                 os.unlink(temporary)
-            log.write(LogEvent.HOT_RESTART, f"no upgrade will find this process: {self.path}: {error}")
+            log.write(
+                LogEvent.HOT_RESTART,
+                f"cannot listen for a child process at {self.path}, so hot restarts are disabled: {error}",
+            )
             return
         self.socket = listening
         self._watch()
--- a/dunepulley/net/hot_restart/messages.py
+++ b/dunepulley/net/hot_restart/messages.py
@@ -10,7 +10,7 @@
 from typing import Any, NamedTuple
 
 PROTOCOL_VERSION = 1
-# Room for a callback of 64 KB with every byte escaped, or a list of several thousand endpoints.
+# Enough for a callback of 64 KB with every byte escaped, or a list of several thousand endpoints.
 MAX_MESSAGE_BYTES = 4 * 1024 * 1024
 
 
--- a/dunepulley/net/list_polling.py
+++ b/dunepulley/net/list_polling.py
@@ -44,7 +44,7 @@
 # A busy discovery may queue a call for 2 s; one that has not responded by then will not respond.
 RESPONSE_TIMEOUT_S = 2.2
 # If lists are pushed, an agent on the dispatcher's own host holds them: a call is cheap, and the dispatcher
-# must act on what the agent has at once, apart from the grace period that the rule on drains allows. This is
+# must apply the agent's changes at once, apart from the grace period that the rule on drains allows. This is
 # half of the usual grace period.
 MAX_LOCAL_BACKOFF_S = 0.15
 # Otherwise discovery is one service for the whole fleet, or the agent forwards to one that refuses calls. Its
--- a/dunepulley/net/recorder.py
+++ b/dunepulley/net/recorder.py
@@ -150,7 +150,7 @@
     def _suspend(self, error: OSError, now: float | None = None, quiet: bool = False) -> None:
         """Close the file until the next retry, and truncate an incomplete last line."""
         if not quiet:
-            log.write(LogEvent.RECORDER, f"no more is written until the trace file can be written: {error}")
+            log.write(LogEvent.RECORDER, f"the trace is suspended until its file can be written: {error}")
         self.retry_at_ms = (0.0 if now is None else now) + RETRY_INTERVAL_MS
         if self.file is not None and not self.file.closed:
             _close_quietly(self.file)
--- a/dunepulley/net/upstream/cancellation.py
+++ b/dunepulley/net/upstream/cancellation.py
@@ -15,7 +15,7 @@
 # Ten times the longest round trip: an endpoint that does not respond within this time is down or unreachable.
 RESPONSE_TIMEOUT_S = 1.0
 # Without hedging, the call is retried at this interval, and up to this time in all. It covers an endpoint
-# whose new connections take up to 1.5 s, after a kept connection that did not respond.
+# whose new connections take up to 1.5 s, after a reused connection that did not respond.
 CONFIRMATION_TIMEOUT_S, RETRY_INTERVAL_S = 2.2, 0.1
 # With hedging, the call is sent at most this many times.
 _MAX_HEDGED_TRIES = 2
--- a/dunepulley/net/upstream/client.py
+++ b/dunepulley/net/upstream/client.py
@@ -64,7 +64,7 @@
 
     Args:
         settings: the router's settings, by their configured names.
-        sockets: the number of file descriptors that the process may use.
+        max_descriptors: the number of file descriptors that the process may use.
         put: receives messages for the core.
         may_begin: called directly before the first byte of each attempt; whether it may start.
     """
@@ -72,7 +72,7 @@
     def __init__(
         self,
         settings: dict[str, Any],
-        sockets: int,
+        max_descriptors: int,
         put: Callable[[Any], None],
         counters: Counters,
         may_begin: Callable[[UpstreamAttempt], bool] = lambda attempt: True,
@@ -85,16 +85,16 @@
         self._has_reports = settings.get("reporting.how", "none") != "none"
         self._connect_s = settings.get("policyLimits.connectTimeoutMs", 1000.0) / 1000.0
         idle_s = settings.get("policyLimits.connIdleMs", 15000.0) / 1000.0
-        self._max_connections = max(8, sockets // 8)
-        self.session = self._open_session(sockets, idle_s)
+        self._max_connections = max(8, max_descriptors // 8)
+        self.session = self._open_session(max_descriptors, idle_s)
         # Keys are attempts, or pairs of an operation and its attempt or endpoint id.
         self.tasks: dict[Any, asyncio.Task[None]] = {}
         self._bodies: dict[UpstreamAttempt, AttemptBody] = {}
         self._sweep_s = max(_MIN_SWEEP_S, _SWEEP_FRACTION * idle_s)
         self._sweep_timer: asyncio.TimerHandle | None = None
 
-    def _open_session(self, sockets: int, idle_s: float) -> aiohttp.ClientSession:
-        # Records whether an exchange used a kept connection: a failure there says less about the endpoint.
+    def _open_session(self, max_descriptors: int, idle_s: float) -> aiohttp.ClientSession:
+        # Records whether an exchange reused a connection: a failure there says less about the endpoint.
         trace = aiohttp.TraceConfig()
         trace.on_connection_reuseconn.append(_record_reuse)
         trace.on_request_headers_sent.append(_set_timeout_header)
@@ -103,7 +103,7 @@
             # one endpoint, which may be unresponsive. As many again may be idle.
             connector=aiohttp.TCPConnector(
                 limit=self._max_connections,
-                limit_per_host=max(2, sockets // 32),
+                limit_per_host=max(2, max_descriptors // 32),
                 keepalive_timeout=max(_MIN_REUSE_S, _REUSE_FRACTION * idle_s),
             ),
             cookie_jar=aiohttp.DummyCookieJar(),
--- a/dunepulley/net/upstream/request_body.py
+++ b/dunepulley/net/upstream/request_body.py
@@ -57,7 +57,7 @@
         if is_stale or not self.may_begin(self.attempt):
             self.attempt.start_refused = True
             self.counters["ho barred"] += 1
-            raise ConnectionAbortedError("the attempt was cancelled, or its connection came too late")
+            raise ConnectionAbortedError("the attempt was cancelled or must not start any more")
         transport = self.transport = writer.transport
         if transport is not None:
             # Makes drain() wait until the last byte is written, not only until the buffer has space.
--- a/dunepulley/routing/admission.py
+++ b/dunepulley/routing/admission.py
@@ -23,7 +23,7 @@
 
 
 class TenantQuotas:
-    """Tenant quotas: each request credits all tenants with their shares; requests beyond are over quota."""
+    """Tenant quotas: each request credits every tenant with its share; what exceeds it is over quota."""
 
     def __init__(self, shares: dict[str, float]) -> None:
         self._shares = shares
--- a/dunepulley/routing/affinity.py
+++ b/dunepulley/routing/affinity.py
@@ -14,8 +14,8 @@
 from .events import EndpointState
 from .rendezvous import KeyOrder
 
-# The number of endpoints in a group, among which turns decide; and how many endpoints a key has beyond its
-# fraction of the traffic, for bursts.
+# The number of endpoints in a group, among which turns decide. A key also has this many endpoints more than
+# its fraction of the traffic requires, for bursts.
 _GROUP_SIZE = 2
 # How many more endpoints of a key's order are cached than are needed, and the factor on their number above
 # which the order is trimmed.
--- a/dunepulley/routing/gossip.py
+++ b/dunepulley/routing/gossip.py
@@ -30,6 +30,7 @@
 # A slot count is one byte in a message.
 _MAX_SLOTS = 255
 
+# For each endpoint its short id and the number of slots held there.
 Holdings = tuple[tuple[int, int], ...]
 
 
@@ -153,7 +154,7 @@
 
     def _next_changed_aggregates(self) -> Holdings:
         """The aggregates that differ from the latest broadcast, as many as fit into a message."""
-        # Start at another entry each time, and include the first one unchanged, because messages may be lost.
+        # Start at another entry each time, and send the first even if unchanged, as messages may be lost.
         aggregates = [
             (short_id, min(_MAX_SLOTS, slots_held)) for short_id, slots_held in self._aggregates.items()
         ]
--- a/dunepulley/routing/load_estimates.py
+++ b/dunepulley/routing/load_estimates.py
@@ -184,8 +184,8 @@
         steps = max(1.0, len(ready) / _ENDPOINTS_PER_INTERVAL)
         self._timers.schedule(now + steps * _DECAY_INTERVAL_MS, self.decay)
         warming, means = self._mean_loads(ready, now)
-        # Not with more dispatchers than endpoints: all of them would send to the one slot that they find
-        # available. Not with size classes: a report would be stale by the next attempt there.
+        # No checks with more dispatchers than endpoints, because all of them would send to the one slot that
+        # they find available. None with size classes: a report would be stale by the next attempt there.
         checks = self._checks_full and self._dispatcher_count <= len(ready) and not self._size_classes.pools
         # If the list or gossip states the load, an endpoint without an update has not changed.
         decays = not self._capacity_is_live and not self.has_aggregates(now)
--- a/dunepulley/routing/rendezvous.py
+++ b/dunepulley/routing/rendezvous.py
@@ -1,7 +1,8 @@
 """Weighted rendezvous hashing over many endpoints: the head of a key's order, updated incrementally.
 
-Each endpoint has a weight for a key, -log(u) / units with u in (0, 1) from the hash of both. The order is by
-ascending weight, so that more units mean a higher rank, and a change moves only the endpoint that changed.
+Each endpoint has a weight for a key, -log(u) / units, with u in (0, 1) from the hash of both; the units are
+its capacity. The order is by ascending weight, so that more units mean a higher rank, and a change moves only
+the endpoint that changed.
 """
 
 from __future__ import annotations
--- a/dunepulley/routing/round_robin.py
+++ b/dunepulley/routing/round_robin.py
@@ -18,7 +18,10 @@
         self.position = 0.0
 
     def take_turn(self, endpoint: Endpoint, among: Sequence[Endpoint]) -> None:
-        """Take an endpoint's turn; endpoints of `among` with an earlier turn were skipped and lose it."""
+        """Take an endpoint's turn.
+
+        Endpoints of `among` with an earlier turn were skipped: they lose it, so that their turns stay spread.
+        """
         turn = endpoint.next_turn
         for other in among:
             if other.next_turn < turn:
--- a/dunepulley/routing/selection.py
+++ b/dunepulley/routing/selection.py
@@ -20,8 +20,9 @@
 from .timers import INFINITY
 from .warm_up import WarmUp
 
-# Penalties of an endpoint: less available than the request needs (by up to half a slot), likely too slow, and
-# 1 for a costly path. The lowest sum is preferred; between equal sums the next in turn.
+# The penalties of an endpoint that lacks up to half a slot for the request, and of one that is likely too
+# slow; a costly path adds 1. The lowest sum is preferred; between equal sums the next in turn. The maximum is
+# above any sum.
 _NO_SLOT_PENALTY, _SLOW_PENALTY, _MAX_PENALTY = 4, 2, 99
 # An endpoint is skipped if it lacks more than half a slot for the request.
 _MIN_AVAILABLE_SLOTS = -0.5
@@ -141,13 +142,14 @@
         """The next in turn among the endpoints with an available slot and the lowest penalty."""
         request, now, excluded = search.request, search.now, search.excluded
         best, best_turn, best_penalty = None, INFINITY, _MAX_PENALTY
-        # Preferring the own zone makes turns uneven, so only if all endpoints are in use: a small subset has
-        # too few endpoints in that zone.
+        # Preferring the own zone makes turns uneven. It is done only if all endpoints are in use, because a
+        # small subset has too few endpoints in that zone.
         prefers_own_zone = self._prefers_own_zone and self._subset.includes_all()
         prefers_open, zone, requested_slots = self._prefers_open, self._zone, request.slots
         min_penalty = self._min_penalty(search)
         # `is_min`: the best so far has the lowest possible penalty, so that no endpoint later in turn or over
-        # a costly path can beat it. `is_min_costly`: none that is both later and over a costly path can.
+        # a costly path can beat it. `is_min_costly`: no endpoint that is both later in turn and over a costly
+        # path can beat it.
         is_min = is_min_costly = False
         for endpoint in self._without_too_slow(group, search):
             turn = endpoint.next_turn
--- a/dunepulley/routing/size_classes.py
+++ b/dunepulley/routing/size_classes.py
@@ -28,7 +28,8 @@
 # Limits on the subset of a large pool that a dispatcher uses: the minimum number of endpoints, and the
 # minimum mean number of dispatchers that use an endpoint.
 MIN_SUBSET, _MIN_HOLDERS = 100, 16
-# The limits between pools follow from the sizes of this many recent requests, once there is the minimum.
+# The limits between pools follow from the sizes of this many recent requests. Until there are as many as the
+# minimum, requests may go to any pool.
 _RECENT_SIZES, _MIN_SIZES = 300, 5
 # The exponent on the fraction of smaller work. Below 1 the pools of short requests, which tolerate the least
 # waiting, receive less work.
@@ -92,7 +93,7 @@
             and not self._has_gossip
             and self._subset.arrivals_per_endpoint_s < _SPARSE_ARRIVALS_PER_S
         )
-        # Ejected endpoints are included, because other dispatchers may not have ejected them.
+        # Ejected endpoints are included: other dispatchers may not have ejected them, and all have to agree.
         if not is_sparse or len(self._endpoints.ready) < _MIN_POOL_SIZE * POOL_COUNT:
             self.pools = []
             return
--- a/dunepulley/routing/start_times.py
+++ b/dunepulley/routing/start_times.py
@@ -1,4 +1,4 @@
-"""How long an endpoint with an available slot takes to start a request, by zone and kind of connection."""
+"""How long an endpoint with an available slot takes to start a request, for each path."""
 
 from __future__ import annotations
 
--- a/dunepulley/routing/warm_up.py
+++ b/dunepulley/routing/warm_up.py
@@ -7,7 +7,7 @@
 from .settings import SlowStartSettings
 from .timers import INFINITY
 
-# An endpoint that serves requests warms up this many times as fast as an idle one.
+# An endpoint that serves requests warms up to this many times as fast as an idle one.
 _WORK_SPEED_UP = 2.0
 _READY = EndpointState.READY
 
--- a/dunepulley/routing/weights.py
+++ b/dunepulley/routing/weights.py
@@ -11,7 +11,7 @@
 from .round_robin import WeightedRoundRobin
 from .size_classes import SizeClasses
 
-# The initial value in the design.
+# The length of a control period; the initial value in the design.
 CONTROL_PERIOD_MS = 2000.0
 # The factor on the goal of an overloaded endpoint, as in the design.
 _OVERLOAD_CUT = 0.9
@@ -64,7 +64,7 @@
 
     def _expected_rates(self, ready: list[Endpoint], now: float) -> list[float]:
         """The rate that each endpoint is expected to serve, in the order of `ready`."""
-        rates = _delivered_rates(ready)
+        rates = _rates_at_full_use(ready)
         known_rates = [
             (rate, endpoint.capacity) for endpoint, rate in zip(ready, rates, strict=True) if rate >= 0.0
         ]
@@ -79,7 +79,8 @@
         for endpoint, rate in zip(ready, rates, strict=True):
             estimate = mean * endpoint.capacity
             if rate >= 0.0:
-                # A stale rate decays to the estimate by capacity; with pools the rate of an idle one, too.
+                # A stale rate decays to the estimate by capacity. With pools, the rate of an idle endpoint
+                # counts less, too.
                 trust = 0.5 ** ((now - endpoint.reported_ms) / CONTROL_PERIOD_MS / _RATE_HALF_LIFE_PERIODS)
                 trust *= min(1.0, endpoint.used_slots_mean / endpoint.slots) if has_pools else 1.0
                 estimate += (rate - estimate) * trust
@@ -111,7 +112,7 @@
         return overloaded
 
 
-def _delivered_rates(ready: list[Endpoint]) -> list[float]:
+def _rates_at_full_use(ready: list[Endpoint]) -> list[float]:
     """The rates that endpoints could serve with all slots in use; -1 if an endpoint has reported none.
 
     At light load a reported rate only reflects how much was sent, so it is divided by the busy fraction.
--- a/dunepulley/simhost/host.py
+++ b/dunepulley/simhost/host.py
@@ -46,7 +46,7 @@
                 if event is not None:
                     self.events.append(event)
         except (KeyError, ValueError, IndexError, StopIteration, RuntimeError) as error:
-            raise wire.WireError(f"cannot read {line[:MAX_QUOTED]!r}: {error}") from error
+            raise wire.WireError(f"cannot read {line[:MAX_QUOTED]!r}: {error!r}") from error
         self.handle_events()
 
     def _read_other(self, name: str, parts: list[str], source: Iterator[str]) -> None:
@@ -132,4 +132,4 @@
         sink.write("\n".join([*reply, END_OF_REPLY]))
         sink.flush()
     if batch:
-        raise wire.WireError("input ended inside a batch")
+        raise wire.WireError("input ended inside a batch, expected the line 'end'")
--- a/dunepulley/simhost/wire.py
+++ b/dunepulley/simhost/wire.py
@@ -114,7 +114,7 @@
     """Return the endpoint of an `item` line; these follow a `roster_change` line."""
     name, *parts = line.split(" ")
     if name != "item":
-        raise WireError(f"expected a list entry, got {name!r}")
+        raise WireError(f"roster_change: expected an item line, got {name!r}")
     fields = parse_fields(parts)
     return EndpointEntry(
         endpoint_id=fields["worker"],
--- a/tests/agent/test_agent.py
+++ b/tests/agent/test_agent.py
@@ -80,7 +80,10 @@
     [
         (None, "cannot read"),
         ("listen = ", "is not valid TOML"),
-        ('state = "x"\n[[dispatcher]]\nname = "n"\nconsole = "127.0.0.1:1"', "None is no host:port"),
+        (
+            'state = "x"\n[[dispatcher]]\nname = "n"\nconsole = "127.0.0.1:1"',
+            "expected an address host:port, got None",
+        ),
         ('listen = "127.0.0.1:1"\nstate = "x"', "expected at least one [[dispatcher]]"),
         ('listen = "127.0.0.1:1"\nstate = 5\n[[dispatcher]]\nname = "n"', "state: expected a path, got 5"),
         (
@@ -91,7 +94,10 @@
             'listen = "127.0.0.1:1"\nstate = "x"\nanswer_s = 0\n[[dispatcher]]\nname = "n"',
             "answer_s: expected a time above 0 and up to 60 s, got 0",
         ),
-        ('listen = "127.0.0.1:1"\nstate = "x"\n[[dispatcher]]\nname = "n"\nconsole = "here"', "'here' is no"),
+        (
+            'listen = "127.0.0.1:1"\nstate = "x"\n[[dispatcher]]\nname = "n"\nconsole = "here"',
+            "expected an address host:port, got 'here'",
+        ),
         (
             'listen = "127.0.0.1:1"\nstate = "x"\n[[dispatcher]]\nname = ""',
             "dispatcher: name: expected 1 to 64 printable characters, got ''",
@@ -467,7 +473,7 @@
 async def test_hot_restart_and_one_whose_child_does_not_start(tmp_path, capsys, monkeypatch):
     async with DispatcherHost(tmp_path) as host:
         monkeypatch.setenv("TMPDIR", str(host.scratch))
-        dispatcher_process = await host.serving()
+        dispatcher_process = await host.start_healthy()
         second_address = f"127.0.0.1:{free_port()}"
         start_command = dispatcher_process.command()
         dispatcher = {
@@ -479,7 +485,7 @@
             assert (await run_ctl(capsys, host_agent, "drain", "--worker", "w0", "--by", "ana"))[0] == 0
             code, text = await run_ctl(capsys, host_agent, "--limit", "15s", "restart", "n0")
             assert code == 0 and f"in place of {dispatcher_process.process.pid}" in text
-            assert (await dispatcher_process.ends())[0] == 0
+            assert (await dispatcher_process.wait_for_exit())[0] == 0
             process = host_agent.dispatchers["n0"].process
             # The child process got the drain from its parent.
             assert process.admin_address == second_address and process.drain_version[1] == 1
@@ -505,7 +511,7 @@
             *start_command, env=host.environment
         )
         host.nodes.append(dispatcher_process)
-        await dispatcher_process.serves()
+        await dispatcher_process.wait_until_healthy()
         hanging_socket = socket.create_server(("127.0.0.1", 0))
         dispatchers = {
             "n0": {"console": f"127.0.0.1:{dispatcher_process.console}", "start": start_command},
@@ -520,12 +526,12 @@
                 b"POST /look/1 HTTP/1.1\r\nHost: a\r\nX-Call-Id: long\r\nX-Budget-Ms: 9000\r\n"
                 b"Content-Length: 0\r\n\r\n"
             )
-            await until(lambda: "long" in host.given())
+            await until(lambda: "long" in host.received_ids())
             code, text = await run_ctl(capsys, host_agent, "--limit", "1s", "restart", "n0", "n1", "n2")
             assert code == 1 and "n0: unknown: the new process does not serve within 1 s" in text
             assert text.count("refused: not begun") == 2
             assert (await dispatcher_process.call("HEALTH")).startswith("200")
-            await host.event("long")
+            await host.send_callbacks("long")
             assert (await read_message(reader)).target == "200"
             writer.close()
             code, text = await run_ctl(capsys, host_agent, "--limit", "15s", "restart", "n0")
--- a/tests/agent/test_failover.py
+++ b/tests/agent/test_failover.py
@@ -40,8 +40,8 @@
 
 async def lose_zone(fleet, zone="a", except_hosts=()):
     """Make all attempts at a zone fail, and wait until it is evacuated."""
-    fleet.everywhere(zone, bad=1.0)
-    await fleet.states(zone, "left", [name for name in fleet.names if name not in except_hosts])
+    fleet.set_reports(zone, bad=1.0)
+    await fleet.wait_for_state(zone, "left", [name for name in fleet.names if name not in except_hosts])
 
 
 # ---------------------------------------------------------------- killed, cut off and suspended agents
@@ -50,60 +50,60 @@
 @with_fleet()
 async def test_leader_is_killed_right_after_a_decision(fleet):
     # Guards against a decision that is known to some agents only, and that no agent completes.
-    await fleet.meet()
-    fleet.everywhere("a", bad=1.0)
-    await fleet.states("a", "left", ["h1"])
+    await fleet.wait_until_connected()
+    fleet.set_reports("a", bad=1.0)
+    await fleet.wait_for_state("a", "left", ["h1"])
     await fleet.kill("h1")
-    await fleet.states("a", "left", ["h2", "h3"])
+    await fleet.wait_for_state("a", "left", ["h2", "h3"])
     # The next leader makes the next plan, and no plan number is used twice.
-    assert (await fleet.say("h2", "bar", "a"))["ok"]
-    await fleet.states("a", "barred", ["h2", "h3"])
+    assert (await fleet.override_zone("h2", "bar", "a"))["ok"]
+    await fleet.wait_for_state("a", "barred", ["h2", "h3"])
     # After its restart the first agent learns what was decided without it.
     await fleet.start("h1")
-    await fleet.states("a", "barred")
-    assert len(fleet.one_history()) >= 2
+    await fleet.wait_for_state("a", "barred")
+    assert len(fleet.check_plan_numbers()) >= 2
 
 
 @with_fleet(hold_s=2.0)
 async def test_majority_is_cut_off_from_a_working_zone(fleet):
     # Guards against two partitions that follow different plans for longer than the lease, and against a zone
     # that stays closed to its own dispatchers after the partition.
-    await fleet.meet()
+    await fleet.wait_until_connected()
     for name in ("h1", "h2"):
-        fleet.dispatchers[name].sees("c", bad=1.0)
+        fleet.dispatchers[name].set_zone_report("c", bad=1.0)
     fleet.cut("h3")
     cut_at = time.monotonic()
-    await fleet.states("c", "alone", ["h3"])
+    await fleet.wait_for_state("c", "alone", ["h3"])
     assert time.monotonic() - cut_at < 2.0 + 2.0
     # The zone is evacuated only once the report of h3, whose dispatchers are inside the zone, is stale.
-    await fleet.states("c", "left", ["h1", "h2"])
+    await fleet.wait_for_state("c", "left", ["h1", "h2"])
     assert fleet.dispatchers["h3"].state("a") == "alone", "without a lease it uses all endpoints of the list"
     fleet.mend()
     for name in ("h1", "h2"):
-        fleet.dispatchers[name].sees("c", bad=0.0)
-    await fleet.states("c", "near")
-    fleet.one_history()
+        fleet.dispatchers[name].set_zone_report("c", bad=0.0)
+    await fleet.wait_for_state("c", "near")
+    fleet.check_plan_numbers()
 
 
 @with_fleet()
 async def test_link_cut_in_one_direction_does_not_prevent_decisions(fleet):
-    await fleet.meet()
+    await fleet.wait_until_connected()
     # Messages of h1 do not reach h2; those of h2 reach h1.
     fleet.links["h1", "h2"].cut("there")
     await lose_zone(fleet)
     statuses = {row["name"]: row["stands"] for row in (await fleet.ask("h1", do="zones"))["agents"]}
     assert statuses["h2"] in ("here", "one way") and statuses["h3"] == "here"
-    fleet.one_history()
+    fleet.check_plan_numbers()
 
 
 @with_fleet(hold_s=2.0)
 async def test_without_a_majority_the_plan_expires_and_nothing_is_decided(fleet):
-    await fleet.meet()
+    await fleet.wait_until_connected()
     await lose_zone(fleet)
     await fleet.kill("h1")
     await fleet.kill("h2")
-    await fleet.states("a", "alone", ["h3"])
-    reply = await fleet.say("h3", "bar", "b", limit_s=1.0)
+    await fleet.wait_for_state("a", "alone", ["h3"])
+    reply = await fleet.override_zone("h3", "bar", "b", limit_s=1.0)
     assert not reply["ok"] and "1 of 3 acceptors promised, 2 are required" in reply["refused"]
     zones_reply = await fleet.ask("h3", do="zones")
     assert zones_reply["confirmed"] is None and {row["stands"] for row in zones_reply["agents"]} == {
@@ -112,21 +112,21 @@
     }
     # After the restart of one agent there is a majority again, and the agreed plan returns.
     await fleet.start("h2")
-    await fleet.states("a", "left", ["h2", "h3"])
+    await fleet.wait_for_state("a", "left", ["h2", "h3"])
 
 
 @with_fleet(hold_s=2.0)
 async def test_suspended_agent_does_not_undo_decisions_made_meanwhile(fleet):
-    await fleet.meet()
+    await fleet.wait_until_connected()
     fleet.processes["h1"].send_signal(signal.SIGSTOP)
     for name in ("h2", "h3"):
-        fleet.dispatchers[name].sees("a", bad=1.0)
-    await fleet.states("a", "left", ["h2", "h3"])
+        fleet.dispatchers[name].set_zone_report("a", bad=1.0)
+    await fleet.wait_for_state("a", "left", ["h2", "h3"])
     number = fleet.dispatchers["h2"].plan["number"]
     fleet.processes["h1"].send_signal(signal.SIGCONT)
-    await fleet.states("a", "left")
+    await fleet.wait_for_state("a", "left")
     assert all([dispatcher.plan["number"] >= number for dispatcher in fleet.dispatchers.values()])
-    fleet.one_history()
+    fleet.check_plan_numbers()
 
 
 @with_fleet(older=("h3",))
@@ -138,7 +138,7 @@
         writer.close()
 
     server = await asyncio.start_server(older_agent, "127.0.0.1", fleet.ports["h3"])
-    await fleet.meet("h1", "h2")
+    await fleet.wait_until_connected("h1", "h2")
     await lose_zone(fleet, except_hosts=("h3",))
     reply = await fleet.ask("h1", do="zones")
     row = next(row for row in reply["agents"] if row["name"] == "h3")
@@ -151,7 +151,7 @@
 
 @with_fleet(hold_s=2.0)
 async def test_agent_with_a_full_disk_reports_that_it_does_not_vote(fleet):
-    await fleet.meet()
+    await fleet.wait_until_connected()
     # The limit allows some lines of its log, but no page of its acceptor's file.
     resource.prlimit(fleet.processes["h3"].pid, resource.RLIMIT_FSIZE, (4096, 4096))
     await lose_zone(fleet)
@@ -159,15 +159,15 @@
     row = next(row for row in (await fleet.ask("h1", do="zones"))["agents"] if row["name"] == "h3")
     assert not row["votes"] and row["stands"] == "here"
     # Its dispatchers get the plan nevertheless. Without one more agent there is no majority of acceptors.
-    await fleet.states("a", "left")
+    await fleet.wait_for_state("a", "left")
     await fleet.kill("h2")
-    reply = await fleet.say("h1", "bar", "b", limit_s=1.0)
+    reply = await fleet.override_zone("h1", "bar", "b", limit_s=1.0)
     assert not reply["ok"] and "1 of 3 acceptors promised" in reply["refused"]
 
 
 @with_fleet(hold_s=2.0)
 async def test_agent_with_a_truncated_file_reports_that_it_does_not_vote(fleet):
-    await fleet.meet()
+    await fleet.wait_until_connected()
     await lose_zone(fleet)
     await fleet.kill("h3")
     path = fleet.folder / "h3.votes"
@@ -175,10 +175,10 @@
     await fleet.start("h3")
     await until(lambda: "h3 does not vote" in fleet.log("h3"))
     # The agent logs this before it listens.
-    await fleet.listens("h3")
-    await fleet.states("a", "left")
+    await fleet.wait_until_answering("h3")
+    await fleet.wait_for_state("a", "left")
     await fleet.kill("h2")
-    assert "acceptors promised" in (await fleet.say("h3", "bar", "b", limit_s=1.0))["refused"]
+    assert "acceptors promised" in (await fleet.override_zone("h3", "bar", "b", limit_s=1.0))["refused"]
 
 
 # ---------------------------------------------------------------- zones
@@ -186,12 +186,12 @@
 
 @with_fleet()
 async def test_two_zones_lost_together_share_the_capacity_of_the_third(fleet):
-    await fleet.meet()
+    await fleet.wait_until_connected()
     for zone in "ab":
-        fleet.everywhere(zone, bad=1.0)
+        fleet.set_reports(zone, bad=1.0)
     # The zone that is detected first is evacuated first; the other one then shares the capacity.
-    await fleet.states("a", "left")
-    await fleet.states("b", "left")
+    await fleet.wait_for_state("a", "left")
+    await fleet.wait_for_state("b", "left")
     spillover_by_zone = {zone["name"]: zone["over"] for zone in fleet.dispatchers["h3"].plan["zones"]}
     assert {each[0] for name in "ab" for each in spillover_by_zone[name]} <= {"c"}
     grants = sum([each[2] for name in "ab" for each in spillover_by_zone[name]])
@@ -200,31 +200,31 @@
 
 @with_fleet()
 async def test_operator_bars_a_zone_while_the_plan_returns_it(fleet):
-    await fleet.meet()
+    await fleet.wait_until_connected()
     await lose_zone(fleet)
-    fleet.everywhere("a", bad=0.0)
-    await fleet.states("a", "returning")
-    reply = await fleet.say("h2", "bar", "a", for_s=60.0)
+    fleet.set_reports("a", bad=0.0)
+    await fleet.wait_for_state("a", "returning")
+    reply = await fleet.override_zone("h2", "bar", "a", for_s=60.0)
     assert reply["ok"] and reply["state"] == "barred"
-    await fleet.states("a", "barred")
+    await fleet.wait_for_state("a", "barred")
     rows = {zone["name"]: zone for zone in (await fleet.ask("h1", do="zones"))["zones"]}
     assert rows["a"]["word"]["by"] == "ana" and rows["a"]["word"]["left"] <= 60_000.0
     assert rows["a"]["by itself"] != "barred", "the state without the override is shown, too"
-    assert (await fleet.say("h3", "return", "a"))["ok"]
-    await fleet.states("a", "returning")
+    assert (await fleet.override_zone("h3", "return", "a"))["ok"]
+    await fleet.wait_for_state("a", "returning")
 
 
 @with_fleet()
 async def test_incomplete_endpoint_list_of_one_dispatcher_closes_no_zone(fleet):
     # Guards against one dispatcher's outdated endpoint list that closes a zone for the whole fleet.
-    await fleet.meet()
+    await fleet.wait_until_connected()
     for name in fleet.names:
         for zone in "abc":
-            fleet.dispatchers[name].sees(zone)
+            fleet.dispatchers[name].set_zone_report(zone)
     del fleet.dispatchers["h1"].zones["b"]
-    fleet.dispatchers["h1"].sees("c", workers=0, slots=0.0)
-    assert (await fleet.say("h1", "bar", "a"))["ok"]
-    await fleet.states("a", "barred")
+    fleet.dispatchers["h1"].set_zone_report("c", workers=0, slots=0.0)
+    assert (await fleet.override_zone("h1", "bar", "a"))["ok"]
+    await fleet.wait_for_state("a", "barred")
     assert {fleet.dispatchers["h2"].state(zone) for zone in "bc"} == {"near"}
 
 
@@ -242,11 +242,11 @@
 def test_ctl_commands_on_a_fleet(tmp_path, capsys):
     async def scenario():
         async with asyncio.timeout(50.0), AgentFleet(tmp_path) as fleet:
-            await fleet.meet()
+            await fleet.wait_until_connected()
             arguments = ["zone", "bar", "a", "--why", "cooling"]
             code, text = await asyncio.to_thread(run_ctl, capsys, fleet, *arguments)
             assert code == 0 and "the zone is barred" in text and "1 done" in text, text
-            await fleet.states("a", "barred")
+            await fleet.wait_for_state("a", "barred")
             code, text = await asyncio.to_thread(run_ctl, capsys, fleet, "zones")
             assert code == 0 and text.count("bar said by") == 3 and "confirmed" in text and "by plan" in text
             code, text = await asyncio.to_thread(run_ctl, capsys, fleet, "--json", "zones")
@@ -281,7 +281,7 @@
         (FLEET + "odd = 1\n", "fleet: unknown key odd"),
         (FLEET + MEMBER.replace("h1", "h2"), "fleet: name: expected the name of a member, got h1"),
         (FLEET + MEMBER + MEMBER, "fleet: member h1: its name or address is listed twice"),
-        (FLEET + MEMBER.replace("127.0.0.1:9", "x"), "'x' is no host:port"),
+        (FLEET + MEMBER.replace("127.0.0.1:9", "x"), "expected an address host:port, got 'x'"),
         (FLEET + 'regions = "none.toml"\n' + MEMBER, "cannot read none.toml"),
     ],
 )
@@ -300,7 +300,7 @@
     head += '[[dispatcher]]\nname = "n"\nconsole = "127.0.0.1:2"\n'
     path.write_text(head)
     assert main(["agent", "--config", str(path), "--new-votes"]) == 2
-    assert "--new-votes goes with a [fleet]" in capsys.readouterr().err
+    assert f"{path}: fleet: expected a [fleet] table, as --new-votes is given" in capsys.readouterr().err
     path.write_text(head + FLEET + MEMBER)
     (tmp_path / "v").write_bytes(b"something")
     assert main(["agent", "--config", str(path), "--new-votes"]) == 2
@@ -378,7 +378,7 @@
             path.write_text(json.dumps(settings))
             host.nodes.append(dispatcher_process)
             await dispatcher_process.start(4)
-            await dispatcher_process.serves()
+            await dispatcher_process.wait_until_healthy()
             report = json.loads(
                 (await dispatcher_process.call(plan_command(ZONE_A_EVACUATED, 700.0))).partition(" ")[2]
             )
@@ -397,7 +397,13 @@
     asyncio.run(scenario())
 
 
-@pytest.mark.parametrize(("value", "message"), [("yes", "neither true nor false"), (True, "name no zone")])
+@pytest.mark.parametrize(
+    ("value", "message"),
+    [
+        ("yes", ": plan: expected true or false, got 'yes'"),
+        (True, ": settings.zone: expected a zone name because plan is true, got none"),
+    ],
+)
 def test_invalid_plan_setting_is_refused(tmp_path, capsys, value, message):
     path = tmp_path / "n0.json"
     settings = {"listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "settings": {}, "plan": value}
@@ -450,7 +456,7 @@
 def test_invalid_fleet_messages_are_refused(tmp_path):
     async def scenario():
         async with asyncio.timeout(30.0), AgentFleet(tmp_path) as fleet:
-            await fleet.meet()
+            await fleet.wait_until_connected()
             for request, message in (
                 (
                     {"do": "meet", "from": "odd", "epoch": 1, "start": 1.0, "votes": True},
--- a/tests/agent/test_storage_faults.py
+++ b/tests/agent/test_storage_faults.py
@@ -680,7 +680,7 @@
         record_requests(trace, range(REQUEST_COUNT, 40_000))
         assert (
             len(logged_lines) == 1
-            and "no more is written" in logged_lines[0]
+            and "the trace is suspended until its file can be written" in logged_lines[0]
             and os.strerror(error_number) in logged_lines[0]
         )
         # Writing is retried every ten seconds of this clock, not with every request.
@@ -793,7 +793,7 @@
     with mock.patch.object(*failing_call, side_effect=OSError(error_number, os.strerror(error_number))):
         hot_restart_.listen_for_child()
         assert hot_restart_.listener.socket is None and not os.path.lexists(path)
-        assert len(logged_lines) == 1 and "no upgrade will find this process" in logged_lines[0]
+        assert len(logged_lines) == 1 and f"cannot listen for a child process at {path}" in logged_lines[0]
         await hot_restart_.close()
     # Leftover files do not prevent the start of a child process.
     assert hot_restart.request_parent_state(path, "n0") is None
@@ -817,7 +817,7 @@
     assert (
         hot_restart_.listener.socket is None
         and len(logged_lines) == 1
-        and "no upgrade will find this process" in logged_lines[0]
+        and f"cannot listen for a child process at {path}" in logged_lines[0]
     )
     await hot_restart_.close()
 
@@ -826,8 +826,8 @@
 async def test_process_serves_with_an_unusable_tmpdir(tmp_path):
     async with DispatcherHost(tmp_path) as host:
         host.environment["TMPDIR"] = str(tmp_path / "no-folder")
-        dispatcher_process = await host.serving()
-        assert (await host.say(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")).target == "200"
+        dispatcher_process = await host.start_healthy()
+        assert (await host.exchange(b"GET /_health HTTP/1.1\r\nHost: a\r\n\r\n")).target == "200"
         dispatcher_process.process.terminate()
-        code, log_text = await dispatcher_process.ends()
-        assert code == 0 and log_text.count("no upgrade will find this process") == 1
+        code, log_text = await dispatcher_process.wait_for_exit()
+        assert code == 0 and log_text.count("cannot listen for a child process at") == 1
--- a/tests/benchmarks/test_bench.py
+++ b/tests/benchmarks/test_bench.py
@@ -1,4 +1,4 @@
-"""The measurements of drains and of failover, in a small form: the same verdict each time."""
+"""Small runs of the drain and failover benchmarks."""
 
 import json
 
@@ -7,31 +7,33 @@
 from bench import drain_fleet, failover
 
 
-def test_no_dispatcher_sends_new_work_to_drained_workers_too_late(capsys):
-    words = "--instances 4 --workers 6 --rate 20 --seconds 6 --hang --restart --json"
-    assert drain_fleet.main(words.split()) == 0
-    told = json.loads(capsys.readouterr().out)
-    rows = {row["instance"]: row for row in told["instances"]}
-    # The one that hung is unknown, not done, and was told once it could hear; the others at once.
+def test_no_dispatcher_sends_requests_to_drained_endpoints_after_the_grace_period(capsys):
+    arguments = "--instances 4 --workers 6 --rate 20 --seconds 6 --hang --restart --json"
+    assert drain_fleet.main(arguments.split()) == 0
+    results = json.loads(capsys.readouterr().out)
+    rows = {row["instance"]: row for row in results["instances"]}
+    # The stopped dispatcher counts as unknown, not done, and is notified after it runs again.
     assert [rows[f"n{number}"]["state"] for number in range(4)] == ["done", "done", "done", "unknown"]
-    after = {name: row["told after ms"] for name, row in rows.items()}
-    assert told["code"] == 3 and after["n3"] > max(after["n0"], after["n1"])
+    notified_after_ms = {name: row["told after ms"] for name, row in rows.items()}
+    assert results["code"] == 3 and notified_after_ms["n3"] > max(
+        notified_after_ms["n0"], notified_after_ms["n1"]
+    )
     for row in rows.values():
-        assert row["sent"] > 0 and row["to drained before"] > 0, "there was nothing to drain"
+        assert row["sent"] > 0 and row["to drained before"] > 0, "no traffic before the drain"
     assert sum([row["to drained after restore"] for row in rows.values()]) > 0
-    assert told["answers"]["200"] > 200
+    assert results["answers"]["200"] > 200
 
 
-def test_a_zone_that_is_lost_is_left_by_all_and_comes_back_within_its_budget(capsys):
+def test_all_dispatchers_leave_a_lost_zone_and_return_without_overloading_it(capsys):
     assert failover.main(["--small"]) == 0
-    last = capsys.readouterr().out.splitlines()[-1]
-    told = dict([part.rsplit(" ", 1) for part in last.split(", ")])
-    assert told["cold pushed over"] == told["no answer"] == "0"
-    assert float(told["acted s"]) < 6.0 < float(told["near s"])
+    last_line = capsys.readouterr().out.splitlines()[-1]
+    results = dict([field.rsplit(" ", 1) for field in last_line.split(", ")])
+    assert results["cold pushed over"] == results["no answer"] == "0"
+    assert float(results["acted s"]) < 6.0 < float(results["near s"])
 
 
 @pytest.mark.parametrize(
-    ("one", "word"),
+    ("result", "expected_text"),
     [
         ({"no answer": 2}, "2 items had no answer"),
         ({"cold pushed over": 1}, "pushed over"),
@@ -42,16 +44,16 @@
         ({"crossed calm": 0.2}, "0.20 crossed"),
     ],
 )
-def test_each_broken_promise_of_failover_is_told(one, word):
-    fine = {"way": "common", "no answer": 0, "cold pushed over": 0, "acted s": 2.0, "near s": 20.0}
-    fine |= {"sent to the left zone": 0, "crossed calm": 0.0, "tried s": 8.5}
-    assert failover.broken(fine) == []
-    odd = {name: value for name, value in (fine | one).items() if value is not None}
-    assert len(failover.broken(odd)) == 1 and word in failover.broken(odd)[0]
-
-
-@pytest.mark.parametrize("words", [["--instances", "x"], ["--fly"]])
-def test_odd_words_are_refused(words, capsys):
-    with pytest.raises(SystemExit) as ended:
-        drain_fleet.main(words)
-    assert ended.value.code == 2 and capsys.readouterr().err
+def test_reports_each_failover_limit_that_is_exceeded(result, expected_text):
+    passing = {"way": "common", "no answer": 0, "cold pushed over": 0, "acted s": 2.0, "near s": 20.0}
+    passing |= {"sent to the left zone": 0, "crossed calm": 0.0, "tried s": 8.5}
+    assert failover.violations_of(passing) == []
+    failing = {name: value for name, value in (passing | result).items() if value is not None}
+    assert len(failover.violations_of(failing)) == 1 and expected_text in failover.violations_of(failing)[0]
+
+
+@pytest.mark.parametrize("arguments", [["--instances", "x"], ["--fly"]])
+def test_invalid_arguments_are_refused(arguments, capsys):
+    with pytest.raises(SystemExit) as exit_info:
+        drain_fleet.main(arguments)
+    assert exit_info.value.code == 2 and capsys.readouterr().err
--- a/tests/control/test_drains.py
+++ b/tests/control/test_drains.py
@@ -183,7 +183,7 @@
 async def endpoint_of_request(rig, request_id):
     """The number of the endpoint that receives a new request."""
     reader, writer = await rig.connect()
-    writer.write(request("/look/1", wi=request_id))
+    writer.write(request("/look/1", request_id=request_id))
 
     def receivers():
         return [
@@ -261,5 +261,5 @@
     path.write_text("{")
     with pytest.raises(ValueError, match="drains in"):
         config.read_drains(str(path))
-    with pytest.raises(ValueError, match="no path"):
+    with pytest.raises(ValueError, match="drains: expected a path, got 7"):
         config.read_drains(7)
--- a/tests/control/test_traffic_plan.py
+++ b/tests/control/test_traffic_plan.py
@@ -354,9 +354,9 @@
 
 def test_one_endpoint_of_each_required_kind_is_selected():
     ready = [*entries(a=4), EndpointEntry("b9", "b", "gpu"), EndpointEntry("c9", "c", "gpu")]
-    near = Plan(1, 1, zones=(ZonePlan("a"), ZonePlan("c", EVACUATED)))
-    assert "b9" in apply_plan(near, Placement("n0", "a"), ready, ["gpu", ""]).endpoint_ids
-    assert "c9" not in apply_plan(near, Placement("n0", "a"), ready, ["gpu"]).endpoint_ids
+    plan = Plan(1, 1, zones=(ZonePlan("a"), ZonePlan("c", EVACUATED)))
+    assert "b9" in apply_plan(plan, Placement("n0", "a"), ready, ["gpu", ""]).endpoint_ids
+    assert "c9" not in apply_plan(plan, Placement("n0", "a"), ready, ["gpu"]).endpoint_ids
 
 
 def test_follower_ignores_older_plans_and_shorter_leases():
@@ -615,12 +615,12 @@
     assert plan.zone("a").state == RETURNING
     assert plan.zone("a").local_fraction() * 4.0 <= 0.8 * 2.0 + FRACTION_STEP * 4.0 + 0.01
     assert run.advance(ALL_HEALTHY, times=40).zone("a").state == LOCAL
-    moves = [
+    local_fractions = [
         (at, plan.zone("a").local_fraction()) for at, plan in run.plans if plan.zone("a").state != EVACUATED
     ]
-    for (at, before), (then, after) in itertools.pairwise(moves):
+    for (at, before), (next_at, after) in itertools.pairwise(local_fractions):
         assert after - before <= MAX_FRACTION_CHANGE + FRACTION_STEP and (
-            then - at >= FRACTION_CHANGE_INTERVAL_MS or after <= before
+            next_at - at >= FRACTION_CHANGE_INTERVAL_MS or after <= before
         )
 
 
--- a/tests/load/test_load_input.py
+++ b/tests/load/test_load_input.py
@@ -117,12 +117,16 @@
         rig.frontend.recorder = recorder.Recorder(str(path), 2, "n0")
         for number in range(3):
             reader, writer = await rig.connect()
-            writer.write(request("/look/1", b"abc", "X-Call-Cost: 5000", wi=f"i{number}"))
-            await until(lambda wi=f"i{number}": wi in [c.headers["x-call-id"] for c in rig.endpoints[0].seen])
+            writer.write(request("/look/1", b"abc", "X-Call-Cost: 5000", request_id=f"i{number}"))
+            await until(
+                lambda request_id=f"i{number}": (
+                    request_id in [c.headers["x-call-id"] for c in rig.endpoints[0].seen]
+                )
+            )
             await rig.callback("w0", "done", f"i{number}", result="made")
             assert (await read_message(reader)).target == "200"
             writer.close()
-        assert (await rig.exchange(request("/odd/1", wi="odd"))).target == "404"
+        assert (await rig.exchange(request("/odd/1", request_id="odd"))).target == "404"
     requests = trace_format.read_trace(str(path))
     assert [(each.category, each.hint, each.size) for each in requests] == [("look", 5.0, 3)] * 2
     assert requests[0].at == 0.0 < requests[1].at and requests[0].budget == 3990.0
@@ -143,7 +147,7 @@
     "settings", [5, {}, {"path": 1, "most": 2}, {"path": "x", "most": 0}, {"path": "x", "most": True}]
 )
 def test_rejects_invalid_trace_setting(settings):
-    with pytest.raises(ValueError, match="no path with the most items"):
+    with pytest.raises(ValueError, match="trace: expected an object with path and most .*from 1 on.*, got "):
         config.parse_trace(settings)
     assert (
         config.parse_trace(None) is None
