--- a/tests/agent/test_failover.py
+++ b/tests/agent/test_failover.py
@@ -69,6 +69,8 @@
     # Guards against two partitions that follow different plans for longer than the lease, and against a zone
     # that stays closed to its own dispatchers after the partition.
     await fleet.wait_until_connected()
+    # Without a first lease a dispatcher is "alone" already, and would follow the plan once the lease arrives.
+    await fleet.wait_for_state("c", "near")
     for name in ("h1", "h2"):
         fleet.dispatchers[name].set_zone_report("c", bad=1.0)
     fleet.cut("h3")
